--- a/negative_cache/src/lib.rs
+++ b/negative_cache/src/lib.rs
@@ -1,10 +1,11 @@
-//! A negative cache of keys that the origin does not have, as a replicated state machine: one shard's entries and its
-//! lookup token, without I/O.
+//! Negative cache: a replicated state machine that stores which keys the origin does not have. One
+//! [`NegativeCacheShard`] holds one shard's entries and its lookup token; the crate does no I/O.
 //!
-//! An entry says that the origin did not have a key, by a lookup that began under the shard's token. A write invalidates
-//! once the origin has carried it out and before its receipt is given: the entry goes and the token changes, so that no
-//! lookup that began before can insert an entry any more. A write that may still run leaves a tombstone: for as long as
-//! it may run, lookups of its key get no token. `docs/copies-design.md` has the interleavings.
+//! A lookup reads the shard's token before it queries the origin, and may insert an entry only under that
+//! token. After the origin has executed a write, and before the write is acknowledged to the client, the
+//! proxy invalidates the key: the entry is removed and the token changes, so lookups that started earlier can
+//! no longer insert. A write whose outcome is unknown adds a tombstone; until it expires, lookups of that key
+//! get no valid token. See `docs/copies-design.md` for the interleavings.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,52 +15,57 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How long an entry lives.
+/// Lifetime of an entry, counted from the start of its lookup.
 pub const ENTRY_TTL_MS: Millis = 30_000;
-/// For how long the origin may still carry out a write that nobody waits for any more.
+/// Lifetime of a tombstone: the longest time for which the origin may still execute a write after the proxy
+/// stopped waiting for it.
 pub const TOMBSTONE_TTL_MS: Millis = 30_000;
-// In a state whose age is not known, tombstones and entries begin anew together: an entry that an older primary accepted
-// beside a tombstone must have expired when the tombstone does.
+// Restoring a state restarts the lifetimes of its tombstones and entries. An entry that an older primary
+// accepted during a tombstone must expire no later than the tombstone.
 const _: () = assert!(TOMBSTONE_TTL_MS >= ENTRY_TTL_MS);
-/// Marks an entry's `at` as no clock's time. It lies above every Unix time: an older program, which compares both, stores
-/// such an entry and never answers from it.
+/// Bit of an entry's `at` that marks it as a packed lookup duration instead of a Unix time. The value exceeds
+/// every Unix time in milliseconds, so older versions, which compare `at` with the wall clock, store such an
+/// entry but never answer from it.
 const LOOKUP_DURATION_FLAG: Millis = 1 << 63;
-/// Bits of an undated `at` that say how long the lookup took; above them is a number that tells entries apart.
+/// Low bits of a packed `at` that store the lookup duration in milliseconds. The bits above store a nonce
+/// that distinguishes the sender's entries.
 const LOOKUP_DURATION_BITS: u32 = 16;
 const _: () = assert!(ENTRY_TTL_MS < 1 << LOOKUP_DURATION_BITS);
-/// A token that no shard ever has: a lookup under it inserts no entry.
+/// A token that is never valid: an insert with it is always stale.
 const INVALID_TOKEN: u64 = u64::MAX;
-/// Entries of one shard; of more, the oldest is evicted.
+/// Maximum number of entries in a shard. Inserting beyond it evicts the oldest entry.
 pub const MAX_ENTRIES: usize = 4096;
-/// Tombstones of one shard; beyond that all its keys have one for as long.
+/// Maximum number of tombstones in a shard. Adding one more replaces them with a tombstone of the whole
+/// shard.
 pub const MAX_TOMBSTONES: usize = 256;
-/// The longest key of an entry, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_LEN: usize = 512;
 
-/// One shard of the cache.
+/// The replicated state of one shard of the negative cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NegativeCacheShard {
-    /// Changes with every invalidation.
+    /// Incremented by every invalidation and every tombstone.
     token: u64,
-    /// Entries, each with the `at` of its operation.
+    /// Cached keys, each with the `at` of its [`Operation::Insert`].
     entries: BTreeMap<Vec<u8>, Millis>,
-    /// Insertions in their order, those of entries that are gone or were inserted anew included.
+    /// Insertions from oldest to newest. Includes insertions whose entry has since been removed or replaced.
     order: VecDeque<(Vec<u8>, Millis)>,
-    /// Keys with a tombstone, and the latest `until` of each. That is a wall clock's time and decides over entries of older
-    /// programs alone; how long a tombstone lasts is in [`LocalTimes`].
+    /// Keys with a tombstone, each with its latest `until` in Unix milliseconds. These times only reject
+    /// inserts of older versions; [`LocalTimes`] determines when a tombstone expires.
     tombstones: BTreeMap<Vec<u8>, Millis>,
-    /// The latest `until` where all keys have a tombstone, or 0.
+    /// The latest `until` of a tombstone that covers the whole shard, in Unix milliseconds; 0 if there is
+    /// none.
     shard_tombstone: Millis,
 }
 
-/// The times of one replica's state, by its own monotonic clock.
+/// When the entries and tombstones of one replica expire, in milliseconds of that replica's monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LocalTimes {
-    /// When each entry expires; one that is not here is not answered from.
+    /// Expiry of each entry. Queries ignore entries that are not listed here.
     entry_expiry: BTreeMap<Vec<u8>, Millis>,
-    /// When each key's tombstone expires.
+    /// Expiry of each key's tombstone.
     tombstone_expiry: BTreeMap<Vec<u8>, Millis>,
-    /// When the tombstone of all keys expires.
+    /// Expiry of the tombstone of the whole shard.
     shard_tombstone_expiry: Millis,
 }
 
@@ -77,42 +83,45 @@
         if self.tombstone_expiry.len() < MAX_TOMBSTONES {
             self.tombstone_expiry.insert(key.to_vec(), expiry);
         } else {
-            // Every tombstone so far was added before this one and expires before it.
+            // All existing tombstones were added earlier and expire before this one.
             self.shard_tombstone_expiry = expiry;
             self.tombstone_expiry.clear();
         }
     }
 }
 
-/// An operation on a shard.
+/// An operation that changes a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Operation {
-    /// A lookup found that the origin does not have this key.
+    /// Adds an entry after a lookup found that the origin does not have the key.
     Insert {
-        /// The key.
+        /// The missing key.
         key: Vec<u8>,
-        /// The token that the lookup began under.
+        /// The shard's token at the start of the lookup.
         token: u64,
-        /// How long the lookup took ([`Operation::insert`]); of an older program, when it began in Unix milliseconds.
+        /// The packed lookup duration ([`Operation::insert`]). Older versions send the lookup's start in Unix
+        /// milliseconds.
         at: Millis,
     },
-    /// The origin has carried out a write of this key.
+    /// Removes the entry of a key after the origin has executed a write of it.
     Invalidate {
-        /// The key.
+        /// The written key.
         key: Vec<u8>,
     },
-    /// It is not known whether the origin has carried out, or may yet, a write of this key.
+    /// Removes the entry of a key and blocks new ones, because a write of the key has an unknown outcome or
+    /// may still be executed.
     Tombstone {
-        /// The key.
+        /// The key of the write.
         key: Vec<u8>,
-        /// Until when it may, in Unix milliseconds. Read by older programs alone: a primary of this one counts
-        /// [`TOMBSTONE_TTL_MS`] on its own clock.
+        /// End of the tombstone in Unix milliseconds. Only older versions act on it; this version counts
+        /// [`TOMBSTONE_TTL_MS`] on its own monotonic clock.
         until: Millis,
     },
 }
 
 impl Operation {
-    /// The entry of a key, by a lookup that took this long. The number tells it from the sender's other entries.
+    /// Builds the insert of a key whose lookup took `lookup_duration`. `nonce` must differ between the
+    /// inserts of one sender.
     pub fn insert(key: Vec<u8>, token: u64, lookup_duration: Duration, nonce: u32) -> Operation {
         let lookup_duration_ms = lookup_duration.as_millis().min(u128::from(ENTRY_TTL_MS)) as Millis;
         Operation::Insert {
@@ -122,55 +131,57 @@
         }
     }
 
-    /// The tombstone of a key. The wall clock's time is for older programs.
+    /// Builds the tombstone of a key. Only older versions use `unix_ms`, the current wall clock time.
     pub fn tombstone(key: Vec<u8>, unix_ms: Millis) -> Operation {
         Operation::Tombstone { key, until: unix_ms + TOMBSTONE_TTL_MS }
     }
 }
 
-/// How long the lookup of an entry took, as far as its `at` says so.
+/// Unpacks the lookup duration from an entry's `at`; 0 if `at` is the Unix time of an older version.
 fn lookup_duration_ms(at: Millis) -> Millis {
-    // An older program says when it began, by a clock that is not ours.
+    // Another machine's Unix time says nothing about this replica's clock.
     at.checked_sub(LOOKUP_DURATION_FLAG).map_or(0, |packed| packed & ((1 << LOOKUP_DURATION_BITS) - 1))
 }
 
-/// The outcome of an operation.
+/// The result of applying an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The entry is inserted.
+    /// The entry was inserted.
     Inserted,
-    /// Something in the shard was written since the lookup began, or may be yet: no entry is inserted.
+    /// The entry was not inserted: the token has changed since the lookup, a tombstone covers the key, or the
+    /// key is longer than [`MAX_KEY_LEN`].
     Stale,
-    /// No entry of the key is left, and no lookup that began before can insert one.
+    /// The entry was removed, and lookups that started earlier can no longer insert one.
     Invalidated,
 }
 
-/// A lookup of a key.
+/// A query whether a key is known to be missing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lookup {
-    /// The key.
+    /// The key to look up.
     pub key: Vec<u8>,
 }
 
-/// What the cache knows of a key.
+/// The result of a [`Lookup`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LookupResult {
-    /// The origin does not have it.
+    /// The origin does not have the key.
     KnownMissing,
-    /// The origin has to be asked; if it does not have the key, an entry may be inserted under this token.
+    /// The cache has no usable entry. If the origin does not have the key either, an entry may be inserted
+    /// with this token.
     Unknown {
-        /// The token.
+        /// The shard's token, or one that is never valid while a tombstone covers the key.
         token: u64,
     },
 }
 
 impl NegativeCacheShard {
-    /// How many entries there are.
+    /// Returns the number of entries, including expired ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the shard has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -178,7 +189,7 @@
     fn insert(&mut self, key: &[u8], at: Millis) {
         self.entries.insert(key.to_vec(), at);
         self.order.push_back((key.to_vec(), at));
-        // Entries that were invalidated or inserted anew leave their place in the order behind.
+        // Removed and replaced entries keep their place in `order`, so its length is limited too.
         while self.entries.len() > MAX_ENTRIES || self.order.len() > 2 * MAX_ENTRIES {
             let Some((oldest, oldest_at)) = self.order.pop_front() else { return };
             if self.entries.get(&oldest) == Some(&oldest_at) {
@@ -215,7 +226,7 @@
                 self.entries.remove(key);
                 self.token += 1;
                 if self.tombstones.len() >= MAX_TOMBSTONES {
-                    // The state has no clock of its own to tell which of them have expired.
+                    // The replicated state has no clock and cannot tell which tombstones have expired.
                     let latest = self.tombstones.values().copied().max().unwrap_or(0);
                     self.shard_tombstone = self.shard_tombstone.max(latest).max(*until);
                     self.tombstones.clear();
@@ -231,7 +242,8 @@
     fn record_applied(&self, times: &mut LocalTimes, operation: &Operation, outcome: &Outcome, now: Millis) {
         match operation {
             Operation::Insert { key, at, .. } if *outcome == Outcome::Inserted => {
-                // An older primary accepts inserts beside a tombstone. It does not answer from them, and nor may this.
+                // An older primary accepts inserts during a tombstone. They must not be used to answer
+                // queries.
                 if times.has_tombstone(key, now) {
                     times.entry_expiry.remove(key);
                     return;
--- a/negative_cache/src/tests.rs
+++ b/negative_cache/src/tests.rs
@@ -1,8 +1,8 @@
-//! One shard's state and its times, operation by operation.
+//! Unit tests of a shard's state and expiry times.
 
 use super::*;
 
-/// A state and its times, as one replica has both.
+/// A state with its expiry times, as one replica has them.
 #[derive(Default)]
 struct Replica {
     state: NegativeCacheShard,
@@ -28,7 +28,9 @@
 #[test]
 fn insert_with_token_from_before_invalidation_or_tombstone_is_stale() {
     let mut replica = Replica::default();
-    let LookupResult::Unknown { token } = query(&replica, b"k", 1_000) else { panic!("nothing is known") };
+    let LookupResult::Unknown { token } = query(&replica, b"k", 1_000) else {
+        panic!("expected no entry in an empty shard")
+    };
     assert_eq!(replica.apply(&insert_operation(b"k", token, 1_000), 1_000), Outcome::Inserted);
     assert_eq!(
         (query(&replica, b"k", 1_001), query(&replica, b"k", 1_000 + ENTRY_TTL_MS)),
@@ -37,7 +39,7 @@
     assert_eq!(replica.apply(&Operation::Invalidate { key: b"k".to_vec() }, 1_001), Outcome::Invalidated);
     assert_eq!(replica.apply(&insert_operation(b"k", token, 1_000), 1_000), Outcome::Stale);
     assert_eq!(query(&replica, b"k", 1_002), LookupResult::Unknown { token: token + 1 });
-    // A write that may still run bars what is looked up before it is over: an older program says so by its wall clock.
+    // A tombstone of an older version rejects inserts with a wall clock time before its `until`.
     replica.apply(&Operation::Tombstone { key: b"k".to_vec(), until: 5_000 }, 1_003);
     assert_eq!(replica.apply(&insert_operation(b"k", token + 2, 4_999), 4_999), Outcome::Stale);
     assert_eq!(replica.apply(&insert_operation(b"other", token + 2, 4_999), 4_999), Outcome::Inserted);
@@ -53,7 +55,7 @@
     assert_eq!((replica.state.len(), replica.state.order.len() <= 2 * MAX_ENTRIES), (MAX_ENTRIES, true));
     let last = 3 * MAX_ENTRIES as u64 - 1;
     assert_eq!(query(&replica, &last.to_be_bytes(), last), LookupResult::KnownMissing);
-    // The same key again and again takes one place, and is not pushed out by its own earlier ones.
+    // Inserting the same key repeatedly leaves one entry, which its own earlier insertions do not evict.
     for n in 0..3 * MAX_ENTRIES as u64 {
         replica.apply(&insert_operation(b"k", 0, last + n), last + n);
     }
@@ -70,7 +72,7 @@
             && replica.times.tombstone_expiry.len() <= MAX_TOMBSTONES
     );
     assert!(replica.times.entry_expiry.len() <= 2 * MAX_ENTRIES);
-    // Beyond the bound all keys are tombstones, the first ones with them.
+    // Beyond the limit the tombstone covers every key, including keys with an earlier tombstone.
     let token = replica.state.token;
     assert_eq!(
         replica.apply(&insert_operation(&0u64.to_be_bytes(), token, 9_000_000), 50_000),
@@ -90,12 +92,12 @@
         (query(&replica, b"k", expiry - 1), query(&replica, b"k", expiry)),
         (LookupResult::KnownMissing, LookupResult::Unknown { token: 0 })
     );
-    // One that took longer than any entry holds is none.
+    // An entry whose lookup took longer than the TTL is already expired.
     replica.apply(&Operation::insert(b"slow".to_vec(), 0, Duration::from_secs(3_600), 8), 1_000);
     assert_eq!(query(&replica, b"slow", 1_000), LookupResult::Unknown { token: 0 });
 }
 
-/// The rule by which older programs tell an entry: its `at` beside the wall clock's time.
+/// The freshness check of older versions, which compares an entry's `at` with the wall clock.
 fn older_version_reports_missing(state: &NegativeCacheShard, key: &[u8], unix_ms: Millis) -> bool {
     let unexpired =
         |at: &&Millis| unix_ms.saturating_sub(**at) < ENTRY_TTL_MS && **at <= unix_ms + ENTRY_TTL_MS;
@@ -110,7 +112,7 @@
     for unix_ms in [0, UNIX_MS, UNIX_MS + ENTRY_TTL_MS, UNIX_MS + 3_600_000] {
         assert!(!older_version_reports_missing(&replica.state, b"k", unix_ms));
     }
-    // Its own entries are refused until the tombstone's time, as by itself.
+    // Inserts of older versions stay blocked until the tombstone's `until`.
     replica.apply(&Operation::tombstone(b"k".to_vec(), UNIX_MS), 0);
     let tombstone_end = UNIX_MS + TOMBSTONE_TTL_MS;
     assert_eq!(replica.state.clone().apply(&insert_operation(b"k", 1, tombstone_end - 1)), Outcome::Stale);
@@ -130,13 +132,13 @@
 fn entry_accepted_by_older_primary_during_tombstone_is_not_used() {
     let mut replica = Replica::default();
     replica.apply(&Operation::tombstone(b"k".to_vec(), 0), 0);
-    // It gave the token out, and takes an entry without a date whatever it has tombstones.
+    // An older primary hands out the token and accepts the entry despite the tombstone.
     let outcome = replica.apply(&Operation::insert(b"k".to_vec(), 1, Duration::ZERO, 1), 20_000);
     assert_eq!(outcome, Outcome::Inserted);
     for now in (20_000..20_000 + 2 * ENTRY_TTL_MS).step_by(1_000) {
         assert!(matches!(query(&replica, b"k", now), LookupResult::Unknown { .. }), "{now} ms");
     }
-    // Neither is it where the state comes from a disk or in one piece.
+    // The same holds after the state was restored from a disk or a snapshot.
     let mut restored = Replica { times: replica.state.restored_times(100_000), state: replica.state };
     for now in (100_000..100_000 + 2 * ENTRY_TTL_MS).step_by(1_000) {
         assert!(matches!(query(&restored, b"k", now), LookupResult::Unknown { .. }), "{now} ms");
--- a/negative_cache/tests/clocks.rs
+++ b/negative_cache/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! Tombstones and entries while wall clocks step, with a change of the primary or a restart in between: spans are those of
-//! monotonic clocks. Two nodes and the shard map, in virtual time and without I/O.
+//! Tests that entries and tombstones keep their TTL while the wall clock steps, also across a primary change
+//! or a restart. Two nodes and the shard map run in virtual time, without I/O.
 
 use notchdoor_coordination::holder::Drift;
 use notchdoor_coordination::shard_map::{
@@ -19,20 +19,20 @@
 const WALL_CLOCK_STEPS_MS: [i64; 5] = [0, HOUR_MS, -HOUR_MS, 3_000, -3_000];
 const WALL_START_MS: u64 = 1_700_000_000_000;
 
-/// What happens between the operation and the lookup, beside the step of the wall clock.
+/// What happens to the primary, in addition to the wall clock step, between the operation and the lookup.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Interruption {
     None,
     /// The other node becomes primary.
     PrimaryChange,
-    /// The primary is started again with what its disk holds.
+    /// The primary restarts from its stored state.
     Restart,
 }
 
 const INTERRUPTIONS: [Interruption; 3] =
     [Interruption::None, Interruption::PrimaryChange, Interruption::Restart];
 
-/// The clock by which the nodes count; the wall clock is the one broken on purpose.
+/// The clock that the nodes use. `Wall` is a deliberate fault that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ClockSource {
     Monotonic,
@@ -99,7 +99,7 @@
         self.shard_map.apply(&ShardMapChange::Join { at, start, shape: PARAMETERS });
     }
 
-    /// Has the table confirmed and carries messages, writes and changes out until nothing is left of them.
+    /// Confirms the shard map and exchanges messages, writes and map changes until none are left.
     fn run_until_idle(&mut self) {
         for _ in 0..8 {
             let (now, version) = (self.now(), self.shard_map.version());
@@ -141,7 +141,7 @@
     }
 
     fn primary(&mut self) -> NodeId {
-        self.shard_map.shards()[0].primary.expect("a primary")
+        self.shard_map.shards()[0].primary.expect("the shard has a primary")
     }
 
     fn interrupt(&mut self, interruption: Interruption) {
@@ -149,11 +149,11 @@
         match interruption {
             Interruption::None => {}
             Interruption::PrimaryChange => {
-                let member = self.members.remove(&primary).expect("the primary runs");
+                let member = self.members.remove(&primary).expect("the primary is running");
                 self.shard_map.apply(&ShardMapChange::Down { id: primary, start: member.start });
             }
             Interruption::Restart => {
-                let member = self.members.remove(&primary).expect("the primary runs");
+                let member = self.members.remove(&primary).expect("the primary is running");
                 let state = self.stored_state(&member);
                 self.join(primary, member.start + 1, vec![state]);
             }
@@ -161,24 +161,24 @@
         self.run_until_idle();
     }
 
-    /// What the disk of a node holds: what it would send to a replica that is behind.
+    /// Returns the stored state of a node, assuming that all its writes are durable.
     fn stored_state(&self, member: &Member) -> ShardState<NegativeCacheShard> {
-        member.node.shard_state(0).expect("it holds the shard")
+        member.node.shard_state(0).expect("the node has a replica of the shard")
     }
 
     fn execute(&mut self, operation: Operation) -> Response<NegativeCacheShard> {
         let (now, primary) = (self.now(), self.primary());
         self.last_request += 1;
-        let member = self.members.get_mut(&primary).expect("the primary runs");
+        let member = self.members.get_mut(&primary).expect("the primary is running");
         member.node.execute(now, now + 1_000, self.last_request, 0, operation);
         self.run_until_idle();
-        self.responses.remove(&self.last_request).expect("an answer")
+        self.responses.remove(&self.last_request).expect("the request has a response")
     }
 
     fn query_key(&mut self) -> LookupResult {
         let (now, primary) = (self.now(), self.primary());
         self.last_request += 1;
-        let member = self.members.get_mut(&primary).expect("the primary runs");
+        let member = self.members.get_mut(&primary).expect("the primary is running");
         let lookup = Lookup { key: KEY.to_vec() };
         member.node.query(now, now + 1_000, self.last_request, 0, lookup);
         self.run_until_idle();
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A lookup that the origin answers with "not found", and its entry.
+    /// Runs a lookup for which the origin does not have the key, and inserts the entry.
     fn query_and_insert(&mut self) -> Option<Response<NegativeCacheShard>> {
         match self.query_key() {
             LookupResult::KnownMissing => None,
@@ -204,7 +204,8 @@
     }
 }
 
-/// Adds a tombstone, steps the wall clock, looks up shortly before the tombstone expires and after it.
+/// Adds a tombstone, steps the wall clock, and looks the key up shortly before and after the tombstone
+/// expires.
 fn check_tombstone_lifetime(
     source: ClockSource,
     step_ms: i64,
@@ -216,21 +217,21 @@
     cluster.step_wall_clock(step_ms);
     cluster.interrupt(interruption);
     cluster.advance(TOMBSTONE_TTL_MS - 5_000 - 1_000);
-    // The origin has not carried the write out yet, and does so once this lookup has been answered.
+    // The origin has not executed the write yet, so no entry may result from this lookup.
     cluster.query_and_insert();
     if cluster.query_key() == LookupResult::KnownMissing {
-        return Err("an entry beside a tombstone".to_owned());
+        return Err("key reported missing during its tombstone".to_owned());
     }
-    // From where it was counted anew, and with the change of the primary in it.
+    // A restart restarts the tombstone's TTL, so wait for another full TTL.
     cluster.advance(TOMBSTONE_TTL_MS);
     cluster.query_and_insert();
     match cluster.query_key() {
         LookupResult::KnownMissing => Ok(()),
-        other => Err(format!("the tombstone goes on after its span: {other:?}")),
+        other => Err(format!("tombstone still in effect after its TTL: {other:?}")),
     }
 }
 
-/// Enters the key, steps the wall clock, and asks before and after the entry's age.
+/// Inserts an entry, steps the wall clock, and queries the key before and after the entry's TTL.
 fn check_entry_lifetime(source: ClockSource, step_ms: i64, interruption: Interruption) -> Result<(), String> {
     let mut cluster = Cluster::start(source);
     cluster.query_and_insert();
@@ -238,13 +239,13 @@
     cluster.step_wall_clock(step_ms);
     cluster.advance(1_000);
     if cluster.query_key() != LookupResult::KnownMissing {
-        return Err("an entry was forgotten before its age".to_owned());
+        return Err("entry not found before its TTL".to_owned());
     }
     cluster.interrupt(interruption);
     let ttl_restarted = interruption == Interruption::Restart;
     cluster.advance(if ttl_restarted { ENTRY_TTL_MS } else { ENTRY_TTL_MS - 2_000 });
     match cluster.query_key() {
-        LookupResult::KnownMissing => Err("an entry beyond its age".to_owned()),
+        LookupResult::KnownMissing => Err("entry found after its TTL".to_owned()),
         LookupResult::Unknown { .. } => Ok(()),
     }
 }
@@ -256,7 +257,7 @@
     for step_ms in WALL_CLOCK_STEPS_MS {
         for interruption in INTERRUPTIONS {
             if let Err(why) = scenario(source, step_ms, interruption) {
-                failures.push(format!("a step of {step_ms} ms, {interruption:?}: {why}"));
+                failures.push(format!("wall clock step of {step_ms} ms, {interruption:?}: {why}"));
             }
         }
     }
@@ -276,11 +277,11 @@
 #[test]
 fn checks_detect_nodes_that_use_the_wall_clock() {
     let mut found = failures(check_tombstone_lifetime, ClockSource::Wall);
-    assert!(found.iter().any(|why| why.contains("an entry beside a tombstone")), "{found:?}");
+    assert!(found.iter().any(|why| why.contains("key reported missing during its tombstone")), "{found:?}");
     found.extend(failures(check_entry_lifetime, ClockSource::Wall));
-    assert!(found.iter().any(|why| why.contains("an entry beyond its age")), "{found:?}");
+    assert!(found.iter().any(|why| why.contains("entry found after its TTL")), "{found:?}");
     for step_ms in WALL_CLOCK_STEPS_MS.into_iter().filter(|step| *step != 0) {
-        let step = format!("a step of {step_ms} ms");
-        assert!(found.iter().any(|why| why.contains(&step)), "{step} is not found: {found:?}");
+        let step = format!("wall clock step of {step_ms} ms");
+        assert!(found.iter().any(|why| why.contains(&step)), "{step} was not detected: {found:?}");
     }
 }
--- a/negative_cache/tests/model.rs
+++ b/negative_cache/tests/model.rs
@@ -1,5 +1,5 @@
-//! Every interleaving of two lookups, a write and reads of one key, with the cache's own code as the shard: after the
-//! write's receipt nobody is told that the key is missing. Two ways of breaking it are found.
+//! Model checks of every interleaving of two lookups, a write and reads of one key against a real shard: once
+//! a write is acknowledged, the key is never reported missing. Two deliberate faults must be detected.
 
 use notchdoor_negative_cache::{LocalTimes, Lookup, LookupResult, NegativeCacheShard, Operation};
 use notchdoor_replication::ReplicatedState;
@@ -13,16 +13,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Variant {
     Correct,
-    /// Entries are accepted whatever was invalidated since their lookup began.
+    /// Inserts use the current token instead of the one that the lookup began with.
     IgnoreToken,
-    /// The receipt goes out before the invalidation is committed.
+    /// The write is acknowledged before its invalidation is committed.
     AckBeforeInvalidation,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LookupState {
     Idle,
-    /// It has the shard's token, and asks the origin.
+    /// The lookup has the shard's token and queries the origin.
     Querying(u64),
     /// The origin did not have the key.
     NotFound(u64),
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum WriteState {
     Idle,
-    /// The origin has carried it out.
+    /// The origin has executed the write.
     Executed,
     Invalidated,
     Acknowledged,
@@ -46,7 +46,7 @@
     lookups: [LookupState; 2],
     write: WriteState,
     invalidated: bool,
-    /// Somebody who asked after the receipt was told that the key is missing.
+    /// A read after the acknowledgement reported the key as missing.
     false_missing: bool,
 }
 
@@ -62,7 +62,7 @@
     StartLookup(usize),
     OriginResponse(usize),
     InsertEntry(usize),
-    /// The entry is lost on its way: with a primary, or with the proxy.
+    /// The insert is lost, for example because the primary or the proxy stopped.
     LoseInsert(usize),
     ExecuteWrite,
     Invalidate,
@@ -153,8 +153,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never missing after a receipt", |_, s: &State| !s.false_missing),
-            Property::sometimes("an entry is made", |_, s: &State| !s.cache.is_empty()),
+            Property::always("not reported missing after acknowledgement", |_, s: &State| !s.false_missing),
+            Property::sometimes("an entry is inserted", |_, s: &State| !s.cache.is_empty()),
         ]
     }
 }
@@ -170,7 +170,7 @@
 fn checker_detects_ignored_token_and_early_acknowledgement() {
     for variant in [Variant::IgnoreToken, Variant::AckBeforeInvalidation] {
         let checker = variant.checker().spawn_bfs().join();
-        let found = checker.discovery("never missing after a receipt");
-        assert!(found.is_some(), "{variant:?} was not found");
+        let found = checker.discovery("not reported missing after acknowledgement");
+        assert!(found.is_some(), "{variant:?} was not detected");
     }
 }
--- a/negative_cache/tests/wire_format.rs
+++ b/negative_cache/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Bytes of frames as a build of version 1 wrote them: what later builds of that version have to read and write.
+//! Compatibility tests of wire format version 1: later builds must encode and decode the same bytes.
 
 use notchdoor_negative_cache::{Lookup, LookupResult, NegativeCacheShard, Operation, Outcome};
 use notchdoor_replication::wire::{encode, Decoder};
@@ -6,7 +6,7 @@
 use notchdoor_replication::{Message, Response};
 use std::time::Duration;
 
-/// A length, the version, who sends, and the message.
+/// Messages with their frames: length, format version, sender and message.
 fn version_1_frames() -> Vec<(Message<NegativeCacheShard>, &'static str)> {
     let invalidate = Operation::Invalidate { key: b"ghost".to_vec() };
     let insert = Operation::Insert { key: b"ghost".to_vec(), token: 3, at: 1_000 };
@@ -59,24 +59,25 @@
         ),
         (Message::Response { request: 9, response: Response::Committed(Outcome::Stale) }, "0000000701bc1507090001"),
         (Message::Response { request: 9, response: Response::Committed(Outcome::Invalidated) }, "0000000701bc1507090002"),
-        // An entry says how long its lookup took, where older builds said when it began; and a key with a tombstone has no token.
+        // Newer entries carry their lookup duration instead of a wall clock time, and a key with a tombstone
+        // gets the invalid token.
         (Message::Execute { request: 9, shard: 5, operation: insert_with_lookup_duration() }, "0000001801bc15050905000567686f737403a8808480808080808001"),
         (Message::Response { request: 11, response: Response::QueryResult(LookupResult::Unknown { token: u64::MAX }) }, "0000001101bc15070b0101ffffffffffffffffff01"),
         (Message::Response { request: 11, response: Response::QueryResult(LookupResult::KnownMissing) }, "0000000701bc15070b0100"),
     ]
 }
 
-/// An entry whose times are those of a wall clock, as builds up to this one sent them.
+/// An insert with wall clock times, as older builds send it.
 fn insert_with_wall_clock_time() -> Operation {
     Operation::Insert { key: b"ghoul".to_vec(), token: 2, at: 1_700_000_000_123 }
 }
 
-/// An entry as this build sends it.
+/// An insert with a lookup duration, as current builds send it.
 fn insert_with_lookup_duration() -> Operation {
     Operation::insert(b"ghost".to_vec(), 3, Duration::from_millis(40), 1)
 }
 
-/// A shard with an entry, one that was invalidated and a tombstone.
+/// A shard with one entry, one invalidated entry and one tombstone.
 fn shard_with_entry_and_tombstone() -> NegativeCacheShard {
     let mut state = NegativeCacheShard::default();
     let insert = Operation::Insert { key: b"ghost".to_vec(), token: 0, at: 1_700_000_000_000 };
@@ -89,7 +90,8 @@
     state
 }
 
-/// A state of which all keys have a tombstone: its token, entries, their order, tombstones, and until when all have one.
+/// A state with a shard-wide tombstone: token, entries, insertion order, key tombstones, and end of the shard
+/// tombstone.
 const SHARD_TOMBSTONE_STATE: &str = "0301016bd20901016bd20900d00f";
 
 #[test]
@@ -121,11 +123,11 @@
         let mut decoder = Decoder::default();
         decoder.push_bytes(&encoded);
         assert_eq!(decoder.next_message::<NegativeCacheShard>().unwrap(), Some((0xabc, message)));
-        // Another version is refused by its number, and nothing of it is guessed at.
+        // Frames of another version are rejected.
         encoded[4] = 2;
         let mut decoder = Decoder::default();
         decoder.push_bytes(&encoded);
         let error = decoder.next_message::<NegativeCacheShard>().unwrap_err().to_string();
-        assert!(error.contains("version 2 of the format, where 1 is spoken"), "{error}");
+        assert!(error.contains("unsupported wire format version 2 (expected 1)"), "{error}");
     }
 }
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -1,7 +1,10 @@
-//! Primary-backup replication of sharded state machines, without I/O. The lease group decides who holds which shard in
-//! which epoch; a [`ReplicaNode`] is one node's part in it. Hosts bring time, messages and the disk.
+//! Primary-backup replication of sharded state machines, without I/O.
 //!
-//! The design is `docs/copies-design.md`.
+//! The lease group decides which node is the primary of a shard in which epoch. A [`ReplicaNode`] runs the
+//! replicas of one node. Its host passes in the time, messages and completed disk writes, and carries out the
+//! resulting [`Output`].
+//!
+//! See `docs/copies-design.md` for the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,25 +27,27 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// A replicated state machine: operations change it, and the same ones lead to the same state at every replica.
+/// A deterministic state machine: replicas that apply the same operations in the same order reach the same
+/// state.
 pub trait ReplicatedState:
     Clone + Debug + Default + PartialEq + Send + Serialize + DeserializeOwned + 'static
 {
-    /// What changes it. Applying one a second time has to be harmless: an unknown outcome is retried.
+    /// An operation that changes the state. Applying it twice must be safe, because clients retry operations
+    /// with an unknown outcome.
     type Operation: Clone + Debug + PartialEq + Send + Serialize + DeserializeOwned;
-    /// The outcome of an operation.
+    /// The result of applying an operation.
     type Outcome: Clone + Debug + PartialEq + Serialize + DeserializeOwned;
-    /// A query of it.
+    /// A read-only query.
     type Query: Clone + Debug + PartialEq + Serialize + DeserializeOwned;
     /// The result of a query.
     type QueryResult: Clone + Debug + PartialEq + Serialize + DeserializeOwned;
-    /// When this replica applied what it holds, by its own monotonic clock. Neither sent nor stored: no two machines
-    /// compare their clocks.
+    /// Times recorded by this replica, on its own monotonic clock. They are neither sent nor stored, because
+    /// clocks of different machines are not comparable.
     type LocalTimes: Clone + Debug + Default + Send + 'static;
 
-    /// Applies an operation: a function of the state and the operation alone.
+    /// Applies an operation. The result depends only on the state and the operation.
     fn apply(&mut self, operation: &Self::Operation) -> Self::Outcome;
-    /// Notes that `operation`, just applied to this state with this outcome, was applied at `now`.
+    /// Records that `operation` was applied to this state at `now` with `outcome`.
     fn record_applied(
         &self,
         times: &mut Self::LocalTimes,
@@ -50,20 +55,21 @@
         outcome: &Self::Outcome,
         now: Millis,
     );
-    /// The ages of a state that was read from the disk or received in one piece at `now`: every span in it begins anew.
+    /// Returns the times of a state that was read from the store or received as a snapshot at `now`. All
+    /// durations restart at `now`.
     fn restored_times(&self, now: Millis) -> Self::LocalTimes;
-    /// Answers a query from committed state. `now` is of the same monotonic clock as the ages.
+    /// Answers a query from committed state. `now` is on the same monotonic clock as `times`.
     fn query(&self, times: &Self::LocalTimes, query: &Self::Query, now: Millis) -> Self::QueryResult;
 }
 
-/// The bytes of a state and its place in the order of operations, as one number to compare.
+/// Returns a checksum of the state and its sequence number, used to compare replicas.
 pub fn digest<C: ReplicatedState>(seq: u64, content: &C) -> u32 {
-    // A state that cannot be encoded has no bytes; it is never stored or sent either.
+    // A state that cannot be encoded is never stored or sent, so its digest does not matter.
     let bytes = postcard::to_stdvec(&(seq, content)).unwrap_or_default();
     crc32fast::hash(&bytes)
 }
 
-/// The shard that a key falls into.
+/// Returns the shard of a key.
 pub fn shard_of(key: &[u8], shards: u32) -> u32 {
     crc32fast::hash(key) % shards.max(1)
 }
--- a/replication/src/message.rs
+++ b/replication/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other. The order of variants and fields is the format of the frames.
+//! Messages between nodes. The order of variants and fields determines the wire format.
 
 use crate::ReplicatedState;
 use notchdoor_coordination::lease::Millis;
@@ -6,110 +6,110 @@
 
 /// A message from one node to another.
 ///
-/// Between a primary and a backup each carries the shard, the primary's epoch and the round in which that backup was
-/// last synchronized: what is of another epoch or round has no meaning any more.
+/// Messages between a primary and a backup carry the shard, the primary's epoch and the round in which the
+/// backup was last synchronized. A message of another epoch or round is outdated and is ignored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Message<C: ReplicatedState> {
-    /// A primary to its backup: the digest of its state, to be compared.
+    /// From a primary to a backup: a digest of its state for comparison.
     Digest {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The primary's epoch.
         epoch: u64,
-        /// The round.
+        /// The synchronization round of the backup.
         round: u64,
-        /// The last operation in the state.
+        /// The sequence number of the last operation in the state.
         seq: u64,
-        /// The digest of the state there.
+        /// The digest of the primary's state at `seq`.
         digest: u32,
     },
-    /// A backup to its primary: its own state is another one.
+    /// From a backup to its primary: the backup's state differs and it needs a snapshot.
     SnapshotRequest {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The primary's epoch.
         epoch: u64,
-        /// The round.
+        /// The synchronization round of the backup.
         round: u64,
     },
-    /// A primary to its backup: its whole state, in a new round.
+    /// From a primary to a backup: the whole state, which starts a new round.
     Snapshot {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The primary's epoch.
         epoch: u64,
-        /// The round.
+        /// The new synchronization round of the backup.
         round: u64,
-        /// The last operation in the state.
+        /// The sequence number of the last operation in the state.
         seq: u64,
-        /// The state.
+        /// The state after all operations up to `seq`.
         content: C,
     },
-    /// A primary to its backup: the next operation.
+    /// From a primary to a backup: the next operation.
     Append {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The primary's epoch.
         epoch: u64,
-        /// The round.
+        /// The synchronization round of the backup.
         round: u64,
         /// The operation's sequence number.
         seq: u64,
-        /// The operation.
+        /// The operation to apply.
         operation: C::Operation,
     },
-    /// A backup to its primary: all operations up to this one are durable here.
+    /// From a backup to its primary: all operations up to `seq` are durable on the backup.
     Ack {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The primary's epoch.
         epoch: u64,
-        /// The round.
+        /// The synchronization round of the backup.
         round: u64,
-        /// The last durable operation.
+        /// The sequence number of the last durable operation.
         seq: u64,
     },
-    /// A node to a primary, for a client of its own: carry an operation out.
+    /// From any node to a primary: execute an operation for a client of the sender.
     Execute {
-        /// The asker's number for the request.
+        /// The sender's number for the request.
         request: u64,
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
-        /// The operation.
+        /// The operation to apply.
         operation: C::Operation,
     },
-    /// A node to a primary, for a client of its own: answer from the state.
+    /// From any node to a primary: answer a query for a client of the sender.
     Query {
-        /// The asker's number for the request.
+        /// The sender's number for the request.
         request: u64,
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
-        /// The query.
+        /// The query to answer.
         query: C::Query,
     },
-    /// A primary to the node that asked.
+    /// From a primary to the node that sent the request.
     Response {
-        /// The asker's number for the request.
+        /// The number that the requesting node gave the request.
         request: u64,
-        /// The response.
+        /// The outcome of the request.
         response: Response<C>,
     },
 }
 
-/// What became of an operation or a query.
+/// The outcome of an operation or a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Response<C: ReplicatedState> {
-    /// The operation is durable at every in-sync replica, with this outcome.
+    /// The operation is durable on every in-sync replica and had this outcome.
     Committed(C::Outcome),
     /// The query's result.
     QueryResult(C::QueryResult),
-    /// The operation was certainly not carried out, or the query not answered.
+    /// The operation was not executed, or the query was not answered.
     Rejected {
-        /// When to ask again.
+        /// How long the client should wait before it retries, in milliseconds.
         retry_after_ms: Millis,
     },
-    /// The operation may have been carried out, or may yet be.
+    /// The operation may have been executed, or may still be.
     Unknown,
 }
--- a/replication/src/node/backup.rs
+++ b/replication/src/node/backup.rs
@@ -1,4 +1,5 @@
-//! A backup of a shard: stores what its primary sends and acknowledges what is durable.
+//! The backup role: stores the operations and snapshots of the primary, and acknowledges them once they are
+//! durable.
 
 use super::{ReplicaNode, ShardRound};
 use crate::replica::{Replica, SyncRound};
@@ -7,14 +8,16 @@
 use notchdoor_coordination::shard_map::NodeId;
 
 impl<C: ReplicatedState> ReplicaNode<C> {
-    /// The replica that a primary of this epoch speaks to.
+    /// Returns the replica that a message from a primary applies to, if this node is a backup in the same
+    /// epoch.
     fn backup_replica(&mut self, shard_round: ShardRound) -> Option<&mut Replica<C>> {
         let replica = self.replicas.get_mut(&shard_round.shard)?;
-        // Of a later epoch than its map's this node does not know its role yet.
+        // In an epoch later than that of its shard map, this node does not know its role yet.
         (replica.primary.is_none() && replica.epoch == shard_round.epoch).then_some(replica)
     }
 
-    /// The primary's digest: the state here is the same, or a snapshot is needed.
+    /// Handles the primary's digest: acknowledges if the local state is the same, otherwise requests a
+    /// snapshot.
     pub(super) fn handle_digest(
         &mut self,
         from: NodeId,
@@ -41,7 +44,7 @@
         self.output.messages.push((from, Message::SnapshotRequest { shard, epoch, round }));
     }
 
-    /// The primary's whole state, in place of what is here.
+    /// Handles a snapshot from the primary, which replaces the local state.
     pub(super) fn handle_snapshot(
         &mut self,
         now: Millis,
@@ -52,7 +55,7 @@
     ) {
         let snapshot_write = self.last_write + 1;
         let Some(replica) = self.backup_replica(shard_round) else { return };
-        // Each round has one snapshot; a second copy of it is out of date.
+        // Each round has one snapshot, so another copy is a duplicate.
         if replica.last_sync >= Some(shard_round.round()) {
             return;
         }
@@ -65,7 +68,7 @@
         self.ack_when_durable(from, shard_round, seq);
     }
 
-    /// The primary's next operation.
+    /// Handles the next operation from the primary.
     pub(super) fn handle_append(
         &mut self,
         now: Millis,
--- a/replication/src/node/durability.rs
+++ b/replication/src/node/durability.rs
@@ -1,14 +1,14 @@
-//! What is owed once writes are durable.
+//! Writes to the store, and the actions that follow once they are durable.
 
 use super::{ReplicaNode, ShardRound, Variant};
 use crate::{Message, ReplicatedState, StoreWrite};
 use notchdoor_coordination::shard_map::NodeId;
 
-/// What is due once a write is durable.
+/// An action to take once a write is durable.
 pub(super) enum OnDurable {
-    /// A shard's operations up to this one are durable here.
+    /// Records that the shard's operations up to `seq` are durable on this node.
     AdvanceDurable { shard: u32, seq: u64 },
-    /// They are to be acknowledged to the primary.
+    /// Acknowledges the operations up to `seq` to the primary.
     SendAck { to: NodeId, shard_round: ShardRound, seq: u64 },
 }
 
@@ -18,13 +18,13 @@
         self.output.writes.push(write);
     }
 
-    /// Writes what brings a shard's stored state up to an operation.
+    /// Issues a write after which the stored state of the shard includes all operations up to `seq`.
     pub(super) fn push_state_write(&mut self, shard: u32, seq: u64, write: StoreWrite<C>) {
         self.push_write(write);
         self.on_durable.push_back((self.last_write, OnDurable::AdvanceDurable { shard, seq }));
     }
 
-    /// Acknowledges all up to an operation once it is durable.
+    /// Acknowledges all operations up to `seq` as soon as they are durable.
     pub(super) fn ack_when_durable(&mut self, to: NodeId, shard_round: ShardRound, seq: u64) {
         let durable = self.replicas.get(&shard_round.shard).map_or(0, |r| r.durable);
         if durable >= seq || self.variant == Variant::AckBeforeDurable {
@@ -39,7 +39,7 @@
         self.output.messages.push((to, Message::Ack { shard, epoch, round, seq }));
     }
 
-    /// All writes up to this number are durable.
+    /// Reports that all writes up to the number `last_write` are durable.
     pub fn writes_durable(&mut self, last_write: u64) {
         if self.failed {
             return;
@@ -61,7 +61,7 @@
     }
 
     fn record_durable(&mut self, number: u64, shard: u32, seq: u64) {
-        // What was written in an earlier epoch is on the disk all the same, unless a snapshot has replaced it since.
+        // A write from an earlier epoch counts as well, unless a later snapshot replaced the state.
         if let Some(replica) = self.replicas.get_mut(&shard).filter(|r| number >= r.snapshot_write) {
             replica.durable = replica.durable.max(seq);
         }
--- a/replication/src/node/mod.rs
+++ b/replication/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A node: its replicas of shards, whatever its role in each. Its host feeds it the group's confirmations, messages of
-//! other nodes, what has become durable and the time, and carries out its [`Output`].
+//! A replication node: the replicas of one process, in whatever role each has. The host reports shard map
+//! confirmations, messages, completed writes and the time, and carries out the node's [`Output`].
 
 mod backup;
 mod durability;
@@ -20,46 +20,48 @@
 pub use primary::{DIGEST_INTERVAL_MS, IN_SYNC_TIMEOUT_MS, MAX_PENDING_OPERATIONS, RESEND_INTERVAL_MS};
 pub use requests::MAX_OUTSTANDING_REQUESTS;
 
-/// The code as it is meant, or broken on purpose to see that the checkers find it.
+/// Whether a node behaves correctly or has a deliberate fault, which tests use to verify that their checks
+/// detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Variant {
-    /// As it is meant.
+    /// No fault.
     #[default]
     Correct,
-    /// A primary commits once its own disk has an operation.
+    /// A primary commits an operation once it is durable on the primary alone.
     PrimaryDiskOnly,
-    /// A primary answers queries without the group's confirmation.
+    /// A primary answers queries without a valid confirmation from the lease group.
     UnconfirmedQueries,
-    /// A backup acknowledges what its disk does not have yet.
+    /// A backup acknowledges operations before they are durable.
     AckBeforeDurable,
 }
 
-/// A node that holds replicas.
+/// One node and its replicas. All times are in milliseconds of the node's monotonic clock.
 pub struct ReplicaNode<C: ReplicatedState> {
     id: NodeId,
     start: u64,
     drift: Drift,
     variant: Variant,
     shard_map: ShardMap,
-    /// Whether the group has sent a shard map since this start.
+    /// Whether the lease group has sent a shard map since this start.
     has_map: bool,
-    /// Until when this node may serve as a primary.
+    /// The end of the period in which this node may serve as a primary.
     serves_until: Millis,
     replicas: BTreeMap<u32, Replica<C>>,
     outstanding: BTreeMap<u64, OutstandingRequest>,
     recent_requests: RecentRequests,
     last_write: u64,
-    /// What is due once a write is durable, each with the write's number.
+    /// Actions to take once a write is durable, each with the write's number.
     on_durable: VecDeque<(u64, OnDurable)>,
     resend_at: Millis,
     digest_at: Millis,
-    /// A write has failed: nothing is promised any more.
+    /// Set by [`ReplicaNode::store_failed`]. The node then acts neither as a primary nor as a backup.
     failed: bool,
     output: Output<C>,
 }
 
 impl<C: ReplicatedState> ReplicaNode<C> {
-    /// A node with what its store holds, read by `now`.
+    /// Creates a node from the stored shards, read at `now`. `start` is the number of this start of the node
+    /// and increases with every start.
     pub fn new(
         id: NodeId,
         start: u64,
@@ -89,52 +91,53 @@
         }
     }
 
-    /// The shard map as the group last sent it.
+    /// Returns the shard map that the lease group last sent.
     pub fn shard_map(&self) -> &ShardMap {
         &self.shard_map
     }
 
-    /// The node's number, and that of its start.
+    /// Returns the node's ID and the number of its start.
     pub fn incarnation(&self) -> (NodeId, u64) {
         (self.id, self.start)
     }
 
-    /// Whether it may serve as the primary of the shards that the map gives it.
+    /// Returns whether this node may serve as the primary of the shards that the map assigns to it.
     pub fn may_serve(&self, now: Millis) -> bool {
         !self.failed && now < self.serves_until
     }
 
-    /// Replicas held, and how many of them are primaries.
+    /// Returns the number of replicas on this node and how many of them are primaries.
     pub fn shard_counts(&self) -> (usize, usize) {
         (self.replicas.len(), self.replicas.values().filter(|r| r.primary.is_some()).count())
     }
 
-    /// A shard's state with every operation that this node has applied.
+    /// Returns a shard's state with all operations that this node has applied, or `None` without a replica.
     pub fn shard_state(&self, shard: u32) -> Option<ShardState<C>> {
         let replica = self.replicas.get(&shard)?;
         Some(ShardState { shard, seq: replica.seq, content: replica.content.clone() })
     }
 
-    /// What this node has of a shard.
+    /// Returns the status of this node's replica of a shard, or `None` without a replica.
     pub fn shard_status(&self, shard: u32) -> Option<ShardStatus> {
         self.replicas.get(&shard).map(Replica::status)
     }
 
-    /// What is to be done now.
+    /// Returns the actions that the host must carry out, and clears them.
     pub fn take_output(&mut self) -> Output<C> {
         self.output.last_write = self.last_write;
         std::mem::take(&mut self.output)
     }
 
-    /// A write failed: this node promises nothing any more, not even what is written next. It still forwards its own
-    /// clients' requests to other nodes.
+    /// Reports that a write failed. From now on this node acknowledges and commits nothing, even if later
+    /// writes succeed. It still forwards requests of its own clients to other nodes.
     pub fn store_failed(&mut self) {
         self.failed = true;
         self.on_durable.clear();
     }
 
-    /// Takes the group's answer to a request that was sent at `sent`. False where the group takes this start to be gone:
-    /// the node has to join again, as another start.
+    /// Handles the lease group's reply to a confirmation request that was sent at `sent`. Returns false if
+    /// the group considers this start of the node down: the node must then join again with a new start
+    /// number.
     pub fn map_confirmed(&mut self, sent: Millis, confirmation: ShardMapConfirmation, now: Millis) -> bool {
         let newer = confirmation.table.filter(|t| t.version() >= self.shard_map.version());
         if let Some(table) = newer {
@@ -142,7 +145,7 @@
             self.has_map = true;
             self.apply_map(now);
         }
-        // The confirmation of a version that this node does not have says nothing of the one that it has.
+        // A confirmation of a map version that this node does not have does not confirm the one that it has.
         if confirmation.up && self.has_map && confirmation.version == self.shard_map.version() {
             let until = self.drift.act_until(sent, confirmation.good_ms);
             self.serves_until = self.serves_until.max(until);
@@ -150,9 +153,10 @@
         confirmation.up
     }
 
-    /// Takes a message of another node.
+    /// Handles a message from another node.
     pub fn receive(&mut self, now: Millis, from: NodeId, message: Message<C>) {
-        // Before the group has sent a map, no epoch is known to be the latest; a node outside the map is no node.
+        // Without a map from the group, the latest epoch of a shard is unknown. Nodes outside the map are
+        // ignored.
         if !self.has_map || !self.shard_map.nodes().contains_key(&from) {
             return;
         }
@@ -164,8 +168,8 @@
         }
         match message {
             Message::Execute { request, shard, operation } => {
-                // One that comes twice, rejected the first time and carried out the second, would make "certainly not
-                // carried out" untrue.
+                // A duplicate could be executed after the first copy was rejected, although a rejection
+                // promises that the operation was not executed.
                 if self.recent_requests.insert(from, request) {
                     self.propose(now, shard, operation, Requester::Remote(from, request));
                 }
@@ -188,13 +192,13 @@
             Message::Ack { shard, epoch, round, seq } => {
                 self.handle_ack(now, from, ShardRound { shard, epoch, round }, seq);
             }
-            // Taken above, also where the store has failed.
+            // Handled above, since responses are also accepted after a store failure.
             Message::Response { .. } => {}
         }
     }
 
-    /// Time has passed: ends requests whose time is up, sends again what was not acknowledged, and asks the group to
-    /// drop backups that are too slow.
+    /// Expires requests that have reached their deadline, resends unacknowledged operations, and proposes to
+    /// drop backups that exceed [`IN_SYNC_TIMEOUT_MS`].
     pub fn tick(&mut self, now: Millis) {
         self.expire_requests(now);
         if self.failed || now < self.resend_at {
@@ -211,7 +215,7 @@
     }
 }
 
-/// What a message between primary and backup is of.
+/// The shard, epoch and synchronization round of a message between a primary and a backup.
 #[derive(Clone, Copy)]
 struct ShardRound {
     shard: u32,
--- a/replication/src/node/primary.rs
+++ b/replication/src/node/primary.rs
@@ -1,5 +1,5 @@
-//! The primary of a shard: orders operations, sends them to its backups, commits what all in-sync replicas have on
-//! their disks, and answers queries from it.
+//! The primary role: orders operations, sends them to the backups, commits operations that are durable on all
+//! in-sync replicas, and answers queries from the committed state.
 
 use super::{ReplicaNode, Requester, ShardRound, Variant};
 use crate::replica::PendingOperation;
@@ -7,19 +7,19 @@
 use notchdoor_coordination::lease::Millis;
 use notchdoor_coordination::shard_map::{NodeId, ShardMapChange};
 
-/// Operations of one shard that wait for its backups; further ones are rejected.
+/// Maximum number of uncommitted operations of one shard. Further operations are rejected.
 pub const MAX_PENDING_OPERATIONS: usize = 1024;
-/// What was not acknowledged is sent again so often.
+/// Interval at which unacknowledged messages are sent again.
 pub const RESEND_INTERVAL_MS: Millis = 100;
-/// The group is asked to drop a backup that has owed an acknowledgement for so long.
+/// The primary proposes to drop an in-sync backup that leaves messages unacknowledged for this long.
 pub const IN_SYNC_TIMEOUT_MS: Millis = 1_000;
-/// How often digests of idle replicas are compared.
+/// Interval at which a primary without pending operations compares digests with its backups.
 pub const DIGEST_INTERVAL_MS: Millis = 5_000;
-/// Operations that are sent to a backup again at once.
+/// Maximum number of operations that are resent to a backup at once.
 const MAX_OPERATIONS_PER_RESEND: usize = 64;
 
 impl<C: ReplicatedState> ReplicaNode<C> {
-    /// Gives an operation its number and sends it to the backups, or rejects it.
+    /// Applies an operation and sends it to the backups, or rejects it.
     pub(super) fn propose(&mut self, now: Millis, shard: u32, operation: C::Operation, requester: Requester) {
         if !self.accepts_operations(now, shard) {
             return self.reject(requester);
@@ -46,7 +46,7 @@
         self.may_serve(now) && in_sync >= min_in_sync && has_capacity
     }
 
-    /// Answers a query from the committed state, if this node may.
+    /// Answers a query from the committed state, or rejects it if this node may not serve.
     pub(super) fn answer_query(&mut self, now: Millis, shard: u32, query: &C::Query, requester: Requester) {
         let confirmed = self.may_serve(now) || self.variant == Variant::UnconfirmedQueries;
         let replica = self.replicas.get(&shard).filter(|_| confirmed);
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Sends the digest of the state to backups that have acknowledged nothing in this epoch.
+    /// Sends the digest of the state to all backups that have not acknowledged anything in this epoch.
     pub(super) fn send_initial_digests(&mut self, shard: u32) {
         let Some(replica) = self.replicas.get(&shard) else { return };
         let Some(primary) = &replica.primary else { return };
         let unsynchronized = primary.backups.iter().filter(|(_, b)| b.acked.is_none());
         let unsynchronized: Vec<_> = unsynchronized.map(|(id, b)| (*id, b.round)).collect();
-        // Most often there is none, and a digest reads the whole state.
+        // Computing a digest reads the whole state, so skip it if no backup needs one.
         if unsynchronized.is_empty() {
             return;
         }
@@ -76,7 +76,8 @@
         self.output.messages.extend(unsynchronized.into_iter().map(digest_message));
     }
 
-    /// Commits what every in-sync replica has on its disk, and has backups that have all of it taken in sync.
+    /// Commits the operations that are durable on every in-sync replica, and proposes to add backups that
+    /// have caught up to the in-sync set.
     pub(super) fn advance_commit(&mut self, shard: u32) {
         let Some(replica) = self.replicas.get_mut(&shard) else { return };
         let (durable, epoch) = (replica.durable, replica.epoch);
@@ -92,14 +93,15 @@
             primary.committed_seq = pending.seq;
             committed.push((pending.requester, primary.committed.apply(&pending.operation)));
         }
-        // The committed state is all that was promised, whether this primary serves yet or waits for a backup that is
-        // gone: a backup that has it is as good a copy.
+        // The committed state includes everything that clients were promised. A backup that has all of it may
+        // join the in-sync set even if this primary does not serve yet or waits for a lost backup.
         let committed_seq = primary.committed_seq;
         if durable >= committed_seq {
             let caught_up =
                 primary.backups.iter_mut().filter(|(_, b)| !b.in_sync && b.acked >= Some(committed_seq));
             for (node, backup) in caught_up {
-                // From the asking on: once the group has taken it in sync, it may be made primary.
+                // Commits must wait for the backup from now on: as soon as the group has accepted the
+                // proposal, the backup may become primary.
                 backup.in_sync = true;
                 self.output.map_changes.push(ShardMapChange::Caught {
                     shard,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Sends the whole state to a backup whose own is another one, in a new round.
+    /// Handles a backup's request for a snapshot: sends the whole state, which starts a new round.
     pub(super) fn handle_snapshot_request(&mut self, now: Millis, from: NodeId, shard_round: ShardRound) {
         let ShardRound { shard, epoch, round } = shard_round;
         let Some(replica) = self.replicas.get_mut(&shard).filter(|r| r.epoch == epoch) else { return };
@@ -124,7 +126,7 @@
         primary.round += 1;
         backup.round = primary.round;
         backup.unacked_since.get_or_insert(now);
-        // It had acknowledged this state, and has another.
+        // The backup had acknowledged this state but now reports a different one.
         if backup.acked.take().is_some() {
             self.output.events.push(NodeEvent::Diverged { shard, node: from });
         }
@@ -133,7 +135,7 @@
         self.output.messages.push((from, snapshot));
     }
 
-    /// A backup has all up to an operation on its disk.
+    /// Records that all operations up to `seq` are durable on a backup.
     pub(super) fn handle_ack(&mut self, now: Millis, from: NodeId, shard_round: ShardRound, seq: u64) {
         let ShardRound { shard, epoch, round } = shard_round;
         let Some(replica) = self.replicas.get_mut(&shard).filter(|r| r.epoch == epoch) else { return };
@@ -145,13 +147,15 @@
         self.advance_commit(shard);
     }
 
-    /// Sends again what backups have not acknowledged, and asks the group for changes that are still due.
+    /// Resends unacknowledged operations to the backups and repeats proposals that the group has not carried
+    /// out yet.
     pub(super) fn update_backups(&mut self, now: Millis, shard: u32, compare_digests: bool) {
         let Some(replica) = self.replicas.get(&shard) else { return };
         let Some(primary) = &replica.primary else { return };
         let (epoch, seq, by) = (replica.epoch, replica.seq, self.id);
         let joining = self.shard_map.shards().get(shard as usize).map(|s| &s.joining);
-        // Idle replicas say now and then what they have, so that a difference is found before it matters.
+        // Replicas compare digests while idle, so that a divergence is found before the backup becomes
+        // primary.
         let compare = compare_digests && primary.pending.is_empty();
         let digest = compare.then(|| digest(seq, &replica.content));
         for (id, backup) in &primary.backups {
--- a/replication/src/node/requests.rs
+++ b/replication/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of this node's own clients, and who is answered for an operation or a query.
+//! Requests from this node's own clients, and routing of responses to their requesters.
 
 use super::ReplicaNode;
 use crate::{Message, ReplicatedState, Response};
@@ -6,34 +6,34 @@
 use notchdoor_coordination::shard_map::{NodeId, NodeRecord};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of this node's own clients that wait at once; further ones are rejected.
+/// Maximum number of outstanding requests from this node's own clients. Further requests are rejected.
 pub const MAX_OUTSTANDING_REQUESTS: usize = 8192;
-/// Requests of one other node that are remembered, so that none is carried out twice.
+/// Number of recent requests that are remembered for each other node, to avoid executing one twice.
 const MAX_RECENT_REQUESTS: usize = 1024;
-/// When a rejected client may ask again.
+/// Delay after which the client of a rejected request may retry.
 const RETRY_AFTER_MS: Millis = 100;
 
-/// Who asked for an operation or a query.
+/// The sender of an operation or a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Requester {
-    /// A client of this node, by the request's number.
+    /// A client of this node, with the number of its request.
     Local(u64),
-    /// Another node, by its number for the request.
+    /// Another node, with that node's number for the request.
     Remote(NodeId, u64),
 }
 
-/// A request of a client of this node.
+/// An unanswered request from a client of this node.
 pub(super) struct OutstandingRequest {
     deadline: Millis,
     is_operation: bool,
 }
 
-/// The latest requests of each other node.
+/// The numbers of the latest requests from each other node.
 #[derive(Default)]
 pub(super) struct RecentRequests(BTreeMap<NodeId, VecDeque<u64>>);
 
 impl RecentRequests {
-    /// Remembers a request; false where it has come before.
+    /// Records a request. Returns false if it was already recorded.
     pub(super) fn insert(&mut self, from: NodeId, request: u64) -> bool {
         let recent = self.0.entry(from).or_default();
         if recent.contains(&request) {
@@ -46,14 +46,15 @@
         true
     }
 
-    /// Forgets nodes that the group does not know any more.
+    /// Removes the requests of nodes that are no longer in the shard map.
     pub(super) fn retain_nodes(&mut self, nodes: &BTreeMap<NodeId, NodeRecord>) {
         self.0.retain(|id, _| nodes.contains_key(id));
     }
 }
 
 impl<C: ReplicatedState> ReplicaNode<C> {
-    /// A client of this node wants an operation carried out. It has a response by `deadline` at the latest.
+    /// Executes an operation for a client of this node. The response follows by `deadline`, in a later
+    /// [`crate::Output`] and with the number `request`.
     pub fn execute(
         &mut self,
         now: Millis,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// A client of this node has a query. It has a response by `deadline` at the latest.
+    /// Answers a query for a client of this node. The response follows by `deadline`, in a later
+    /// [`crate::Output`] and with the number `request`.
     pub fn query(&mut self, now: Millis, deadline: Millis, request: u64, shard: u32, query: C::Query) {
         if !self.register(request, OutstandingRequest { deadline, is_operation: false }) {
             return;
@@ -88,7 +90,7 @@
         self.shard_map.shards().get(shard as usize)?.primary
     }
 
-    /// Notes a request, or rejects it where too many are outstanding.
+    /// Adds a request to the outstanding ones, or rejects it and returns false if there are too many.
     fn register(&mut self, number: u64, request: OutstandingRequest) -> bool {
         let has_capacity = self.outstanding.len() < MAX_OUTSTANDING_REQUESTS;
         if has_capacity {
@@ -116,7 +118,8 @@
         self.respond(requester, rejected());
     }
 
-    /// Ends the requests whose time is up.
+    /// Ends the requests that have reached their deadline. Operations end with an unknown outcome, queries
+    /// are rejected.
     pub(super) fn expire_requests(&mut self, now: Millis) {
         let expired = self.outstanding.iter().filter(|(_, request)| request.deadline <= now);
         let expired: Vec<_> = expired.map(|(number, request)| (*number, request.is_operation)).collect();
--- a/replication/src/node/roles.rs
+++ b/replication/src/node/roles.rs
@@ -1,4 +1,4 @@
-//! A node's role in each shard, as the shard map says.
+//! The node's roles: applies the roles that the shard map assigns to it.
 
 use super::ReplicaNode;
 use crate::replica::{BackupProgress, PrimaryState, Replica};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl<C: ReplicatedState> ReplicaNode<C> {
-    /// Follows a new shard map.
+    /// Updates the role in every shard after a new shard map.
     pub(super) fn apply_map(&mut self, now: Millis) {
         if self.failed {
             return;
@@ -27,7 +27,7 @@
         let id = self.id;
         let replica = self.replicas.entry(number).or_default();
         if replica.epoch == shard.epoch {
-            // Which nodes join changes within an epoch.
+            // The set of joining nodes can change within an epoch.
             if let Some(primary) = replica.primary.as_mut().filter(|_| role == Role::Primary) {
                 primary.update_joining(shard, id, now);
             }
@@ -64,7 +64,8 @@
         }
     }
 
-    /// The next primary may have received the operations that waited for one that is no primary any more.
+    /// Answers the pending operations of a former primary with an unknown outcome, since the next primary may
+    /// have received them.
     fn abandon_pending(&mut self, former_primary: Option<PrimaryState<C>>) {
         for pending in former_primary.into_iter().flat_map(|primary| primary.pending) {
             self.respond(pending.requester, Response::Unknown);
@@ -72,17 +73,19 @@
     }
 }
 
-/// The in-sync and the joining nodes of a shard beside this one, of which nothing is known in a new epoch.
+/// Returns the initial progress of the in-sync and joining nodes other than this one. Progress from earlier
+/// epochs does not carry over.
 fn initial_backups(shard: &Shard, id: NodeId, now: Millis) -> BTreeMap<NodeId, BackupProgress> {
     let others = shard.in_sync.iter().chain(&shard.joining).filter(|member| **member != id);
     others.map(|member| (*member, BackupProgress::new(1, shard.in_sync.contains(member), now))).collect()
 }
 
 impl<C: ReplicatedState> Replica<C> {
-    /// Begins an epoch as the primary.
+    /// Takes the primary role in a new epoch.
     fn become_primary(&mut self, backups: BTreeMap<NodeId, BackupProgress>) {
         match &mut self.primary {
-            // It was the primary before: what is committed stays so, and what is pending waits for the backups of now.
+            // Already the primary in the previous epoch: committed operations stay committed, and pending
+            // ones wait for the new set of backups.
             Some(primary) => (primary.backups, primary.round) = (backups, 1),
             None => self.primary = Some(PrimaryState::new(backups, self.content.clone(), self.seq)),
         }
--- a/replication/src/output.rs
+++ b/replication/src/output.rs
@@ -1,52 +1,52 @@
-//! What a node wants its host to do.
+//! Actions that a node requests from its host.
 
 use crate::{Message, ReplicatedState, Response};
 use notchdoor_coordination::shard_map::{NodeId, ShardMapChange};
 use std::fmt;
 
-/// A write to the store; the order of writes matters.
+/// A write to the store. Writes must be applied in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreWrite<C: ReplicatedState> {
-    /// One more operation of a shard.
+    /// Appends an operation to a shard.
     Append {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
         /// The operation's sequence number.
         seq: u64,
-        /// The operation.
+        /// The operation to apply.
         operation: C::Operation,
     },
-    /// A shard's state, in place of all that the store held of it.
+    /// Replaces the stored state of a shard.
     Snapshot {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
-        /// The last operation in the state.
+        /// The sequence number of the last operation in the state.
         seq: u64,
-        /// The state.
+        /// The state after all operations up to `seq`.
         content: C,
     },
-    /// The shard is not held here any more.
+    /// Deletes a shard that this node no longer replicates.
     Remove {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
     },
 }
 
-/// What a node is to a shard.
+/// A node's role in a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It orders the operations and answers queries.
+    /// Orders the operations and answers queries.
     Primary,
-    /// It is in sync and stores what the primary sends.
+    /// In sync: stores the operations that the primary sends.
     Backup,
-    /// It is being brought into the in-sync set.
+    /// Being synchronized in order to join the in-sync set.
     Joining,
-    /// It holds no replica.
+    /// Has no replica of the shard.
     None,
 }
 
 impl Role {
-    /// The role's name in log lines.
+    /// Returns the role's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Role::Primary => "primary",
@@ -63,39 +63,41 @@
     }
 }
 
-/// What operators are told of.
+/// An event for the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// The node follows a new epoch of a shard, in this role.
+    /// The node took on a role in a new epoch of a shard.
     RoleChanged {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
-        /// The epoch.
+        /// The new epoch.
         epoch: u64,
-        /// The role.
+        /// The node's role in the new epoch.
         role: Role,
     },
-    /// A backup's state differed from its primary's, which is sent to it.
+    /// A backup that had acknowledged the primary's state turned out to have a different one. The primary
+    /// sends it a snapshot.
     Diverged {
-        /// The shard.
+        /// The index of the shard in the shard map.
         shard: u32,
-        /// The backup.
+        /// The backup's node.
         node: NodeId,
     },
 }
 
-/// All that the host has to do since it last asked.
+/// Actions for the host, collected since the previous [`crate::ReplicaNode::take_output`].
 #[derive(Debug)]
 pub struct Output<C: ReplicatedState> {
-    /// Messages, each with the node that it is for.
+    /// Messages to send, each with its receiver.
     pub messages: Vec<(NodeId, Message<C>)>,
-    /// Writes to the store. The host calls [`crate::ReplicaNode::writes_durable`] once they are.
+    /// Writes to the store, in order. Once they are durable, the host calls
+    /// [`crate::ReplicaNode::writes_durable`].
     pub writes: Vec<StoreWrite<C>>,
-    /// The number of the last write.
+    /// The number of the last write, counted since the node was created.
     pub last_write: u64,
     /// Responses to requests of this node's own clients, each with the request's number.
     pub responses: Vec<(u64, Response<C>)>,
-    /// Changes of the shard map to ask of the group.
+    /// Shard map changes to propose to the lease group.
     pub map_changes: Vec<ShardMapChange>,
     /// Events to log.
     pub events: Vec<NodeEvent>,
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! One node's replica of one shard, and what its primary knows of the backups.
+//! The state of one node's replica of one shard, and the primary's view of its backups.
 
 use crate::node::Requester;
 use crate::ReplicatedState;
@@ -7,65 +7,67 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A shard's state as a store holds it.
+/// A shard's state as loaded from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardState<C: ReplicatedState> {
-    /// The shard.
+    /// The index of the shard in the shard map.
     pub shard: u32,
-    /// The last operation in the state.
+    /// The sequence number of the last operation in the state.
     pub seq: u64,
-    /// The state.
+    /// The state after all operations up to `seq`.
     pub content: C,
 }
 
-/// What a node has of a shard, for operators and tests.
+/// The status of a node's replica of a shard, for operators and tests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ShardStatus {
-    /// The epoch that the replica follows.
+    /// The epoch in which the replica has its current role.
     pub epoch: u64,
-    /// The last operation that it has applied.
+    /// The sequence number of the last applied operation.
     pub seq: u64,
-    /// The last operation that is durable here.
+    /// The sequence number of the last operation that is durable on this node.
     pub durable: u64,
-    /// Whether it is the primary.
+    /// Whether this node is the primary.
     pub is_primary: bool,
-    /// Whether, as the primary, it has brought its backups to its state and serves.
+    /// Whether this node is the primary and has synchronized its in-sync backups, so that it serves requests.
     pub serving: bool,
-    /// Operations that wait for backups.
+    /// Number of operations that are not yet committed.
     pub pending: usize,
-    /// What each backup has acknowledged in this epoch.
+    /// The last operation that each backup has acknowledged in this epoch; none if it has acknowledged
+    /// nothing.
     pub acked: BTreeMap<NodeId, Option<u64>>,
 }
 
-/// The synchronization of a backup with its primary. Rounds are counted within an epoch.
+/// Identifies one synchronization of a backup with its primary. `round` is counted within an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SyncRound {
     pub(crate) epoch: u64,
     pub(crate) round: u64,
 }
 
-/// A replica of a shard.
+/// A node's replica of a shard.
 #[derive(Default)]
 pub(crate) struct Replica<C: ReplicatedState> {
     pub(crate) epoch: u64,
-    /// The state with every operation so far, durable or not.
+    /// The state with all applied operations, durable or not.
     pub(crate) content: C,
-    /// When this node applied it.
+    /// When this node applied the operations in `content`.
     pub(crate) times: C::LocalTimes,
-    /// The last operation in the state.
+    /// The sequence number of the last applied operation.
     pub(crate) seq: u64,
-    /// The last operation that is durable here.
+    /// The sequence number of the last operation that is durable on this node.
     pub(crate) durable: u64,
-    /// The write that last replaced the state whole: earlier writes say nothing of what is durable of this one.
+    /// The number of the write that last replaced the whole state. Completed writes with a lower number say
+    /// nothing about how much of the current state is durable.
     pub(crate) snapshot_write: u64,
-    /// The round in which the replica was brought to its primary's state. Messages of an earlier one may still come, by
-    /// an older connection, and are out of date.
+    /// The round in which this replica was last synchronized with its primary. Messages of an earlier round,
+    /// which may still arrive over an older connection, are ignored.
     pub(crate) last_sync: Option<SyncRound>,
     pub(crate) primary: Option<PrimaryState<C>>,
 }
 
 impl<C: ReplicatedState> Replica<C> {
-    /// A replica as the store holds it, read by `now`.
+    /// Creates a replica from the stored state, read at `now`.
     pub(crate) fn from_store(seq: u64, content: C, now: Millis) -> Self {
         let times = content.restored_times(now);
         Replica { content, times, seq, durable: seq, ..Replica::default() }
@@ -93,50 +95,52 @@
     }
 }
 
-/// What a replica has beside its state while it is the primary.
+/// Additional state of a replica that is the primary.
 pub(crate) struct PrimaryState<C: ReplicatedState> {
     pub(crate) backups: BTreeMap<NodeId, BackupProgress>,
-    /// The state with the committed operations alone: queries are answered from it, and nothing in it is taken back.
+    /// The state with only the committed operations. Queries are answered from it.
     pub(crate) committed: C,
     pub(crate) committed_seq: u64,
-    /// Operations that are not committed yet, in order.
+    /// Operations that are not yet committed, in order.
     pub(crate) pending: VecDeque<PendingOperation<C>>,
-    /// The last round that a backup was synchronized in.
+    /// The last round that was assigned to a backup.
     pub(crate) round: u64,
-    /// Whether all in-sync backups were brought to what this primary took over.
+    /// Whether all in-sync backups have the state with which this primary started.
     pub(crate) serving: bool,
 }
 
 impl<C: ReplicatedState> PrimaryState<C> {
-    /// Begins with the state that the replica has: all that was ever committed is in it.
+    /// Starts with the whole state of the replica as committed, since it includes every committed operation.
     pub(crate) fn new(backups: BTreeMap<NodeId, BackupProgress>, committed: C, committed_seq: u64) -> Self {
         PrimaryState { backups, committed, committed_seq, pending: VecDeque::new(), round: 1, serving: false }
     }
 
-    /// The last operation that every in-sync replica has on its disk, where the primary has `durable`. None while one
-    /// of them has acknowledged nothing in this epoch.
+    /// Returns the last operation that is durable on every in-sync replica, given the last one that is
+    /// durable on the primary. None if an in-sync backup has not acknowledged anything in this epoch.
     pub(crate) fn durable_everywhere(&self, durable: u64) -> Option<u64> {
         let mut in_sync = self.backups.values().filter(|b| b.in_sync);
         in_sync.try_fold(durable, |lowest, backup| Some(lowest.min(backup.acked?)))
     }
 }
 
-/// An operation that waits for its backups.
+/// An operation that is not yet durable on every in-sync replica.
 pub(crate) struct PendingOperation<C: ReplicatedState> {
     pub(crate) seq: u64,
     pub(crate) operation: C::Operation,
     pub(crate) requester: Requester,
 }
 
-/// A backup as its primary knows it.
+/// The primary's view of a backup.
 pub(crate) struct BackupProgress {
-    /// The round that it is synchronized in; acknowledgements of another one are out of date.
+    /// The backup's synchronization round. Acknowledgements of another round are ignored.
     pub(crate) round: u64,
-    /// The last operation that it has acknowledged in this epoch.
+    /// The last operation that the backup has acknowledged in this epoch.
     pub(crate) acked: Option<u64>,
-    /// Operations wait for it: it is in sync, or the group was asked to take it in.
+    /// Whether a commit requires this backup's acknowledgement: it is in sync, or the primary has proposed to
+    /// add it to the in-sync set.
     pub(crate) in_sync: bool,
-    /// Since when an acknowledgement has been due.
+    /// When the wait for an acknowledgement began; each acknowledgement restarts it. None if the backup has
+    /// acknowledged everything.
     pub(crate) unacked_since: Option<Millis>,
 }
 
--- a/replication/tests/faults.rs
+++ b/replication/tests/faults.rs
@@ -1,6 +1,7 @@
-//! Nodes, their disks and the group's table in virtual time, under random faults: kills, wiped disks, pauses, cuts of
-//! every kind, late and doubled messages, clocks at the drift bound. Each key's history is linearizable, so what was
-//! answered as kept is there and no old primary answers beside a new one; and the checks find the code broken on purpose.
+//! Simulation tests of nodes, their disks and the shard map in virtual time under random faults: kills, wiped
+//! disks, pauses, network partitions, delayed and duplicated messages, and clocks at the drift bound. The
+//! history of every key must be linearizable, so no committed write is lost and no former primary answers
+//! queries. Deliberate faults in the nodes must be detected.
 
 use notchdoor_coordination::holder::Drift;
 use notchdoor_coordination::shard_map::{
@@ -16,7 +17,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Registers by key.
+/// A replicated map of registers by key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Registers(BTreeMap<u8, u64>);
 
@@ -45,7 +46,7 @@
 const KEYS: u8 = 24;
 const CONFIRMATION_VALID_MS: u64 = 1_000;
 const DRIFT: Drift = Drift { rate_ppm: 10_000, margin_ms: 50 };
-/// Longer than any confirmation is good, by any clock within the bound.
+/// Longer than a confirmation is valid on any clock within the drift bound.
 const NODE_TIMEOUT_MS: u64 = CONFIRMATION_VALID_MS + CONFIRMATION_VALID_MS * 2 / 100 + 50;
 const FAULT_PHASE_MS: u64 = 20_000;
 const SETTLE_PHASE_MS: u64 = 8_000;
@@ -56,7 +57,7 @@
     id: NodeId,
     start: u64,
     shards: BTreeMap<u32, (u64, Registers)>,
-    /// Written and not durable yet, in order, each with its number.
+    /// Writes that are not durable yet, in order, each with the number of its last write.
     unsynced: Vec<(u64, Vec<StoreWrite<Registers>>)>,
 }
 
@@ -67,7 +68,7 @@
                 match write {
                     StoreWrite::Append { shard, seq, operation } => {
                         let (last, content) = self.shards.entry(shard).or_default();
-                        assert_eq!(seq, *last + 1, "a gap on the disk");
+                        assert_eq!(seq, *last + 1, "gap between stored operations of shard {shard}");
                         *last = seq;
                         content.apply(&operation);
                     }
@@ -86,13 +87,13 @@
 struct Machine {
     disk: Disk,
     node: Option<ReplicaNode<Registers>>,
-    /// Delivery comes while it is paused waits.
+    /// While paused, deliveries are deferred.
     paused: bool,
     deferred: Vec<Delivery>,
-    /// Its clock runs so many parts in a million fast.
+    /// The deviation of the machine's clock from the simulated time, in parts per million.
     rate_ppm: i64,
     joined: bool,
-    /// Each start is told from the last one.
+    /// Incremented by every kill and start, so that deliveries for an earlier process are discarded.
     incarnation: u64,
     next_group_request_at: u64,
     client: Option<(u64, ClientRequest, u64)>,
@@ -132,7 +133,7 @@
     machines: Vec<Machine>,
     shard_map: ShardMap,
     last_confirmed_at: BTreeMap<NodeId, u64>,
-    /// Cut off: from, to; the group is the last number.
+    /// Cut network links as (from, to) pairs. The lease group has the index [`GROUP`].
     cut_links: BTreeSet<(usize, usize)>,
     variant: Variant,
     histories: BTreeMap<u8, Vec<HistoryEvent>>,
@@ -228,7 +229,7 @@
         machine.node = None;
         machine.incarnation += 1;
         machine.disk.unsynced.clear();
-        // Its client does not know what became of what it asked.
+        // The client never learns the outcome of its request.
         machine.client = None;
     }
 
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Carries out what a node wants done.
+    /// Carries out the actions that a node has requested.
     fn process_output(&mut self, m: usize) {
         let Some(node) = &mut self.machines[m].node else { return };
         let out = node.take_output();
@@ -295,7 +296,7 @@
             (ClientRequest::Get(key), Response::QueryResult(value)) => {
                 Some((key, RegisterRet::ReadOk(value)))
             }
-            // Certainly not kept: it is as if it had not been asked for.
+            // A rejected write was not executed, so it is removed from the history.
             (ClientRequest::Set(key, value), Response::Rejected { .. }) => {
                 let history = self.histories.entry(key).or_default();
                 history.retain(
@@ -317,7 +318,7 @@
         }
     }
 
-    /// A client of this node asks for something.
+    /// Sends a request from a client of this machine, unless one is outstanding or not yet due.
     fn start_client_request(&mut self, m: usize) {
         let clock = self.clock(m);
         if self.machines[m].client.is_some() || self.machines[m].next_request_at > self.now {
@@ -327,7 +328,7 @@
         self.machines[m].next_request_at =
             self.now + self.rng.random_range(max_interval_ms / 2..max_interval_ms);
         self.last_thread += 1;
-        // In the end each key is read in turn.
+        // In the settle phase every key is read in turn.
         let next_key = (self.last_thread % u64::from(KEYS)) as u8;
         let key = if self.settling { next_key } else { self.rng.random_range(0..KEYS) };
         let (req, thread) = (self.last_thread, self.last_thread);
@@ -452,7 +453,7 @@
                 let up =
                     self.machines[m].node.as_mut().is_none_or(|n| n.map_confirmed(sent, confirmation, clock));
                 if !up {
-                    // It was taken to be gone: it comes again as another start.
+                    // The group considers this start of the node down, so it starts again.
                     self.kill(m);
                     return self.start(m);
                 }
@@ -465,7 +466,7 @@
         self.shard_map.shards().iter().all(|s| s.in_sync.len() >= PARAMETERS.copies && s.primary.is_some())
     }
 
-    /// Whether every copy in sync is on a disk that there is, of a machine that runs.
+    /// Returns whether every in-sync replica is on a running machine whose disk was not wiped.
     fn all_in_sync_running(&self) -> bool {
         let runs = |id: &NodeId| self.machines.iter().any(|m| m.disk.id == *id && m.node.is_some());
         self.shard_map.shards().iter().all(|s| s.in_sync.iter().all(runs))
@@ -482,7 +483,7 @@
         let to = self.rng.random_range(0..=MACHINES);
         match self.rng.random_range(0..10) {
             0 => self.kill(m),
-            // A disk is lost only while all the other copies are there.
+            // A disk is wiped only while all replicas are in sync and running.
             1 if self.all_in_sync() && self.all_in_sync_running() => {
                 self.kill(m);
                 let id = self.rng.random();
@@ -492,7 +493,7 @@
             4 => drop(self.cut_links.insert((m, to))),
             5 => drop(self.cut_links.insert((to.min(MACHINES - 1), m))),
             6 => self.cut_links.extend([(m, GROUP), (GROUP, m)]),
-            // All at once, as when a room loses its power.
+            // Power loss of all machines at once.
             7 => (0..MACHINES).for_each(|m| self.kill(m)),
             _ => self.heal(),
         }
@@ -558,9 +559,7 @@
             if !tester.is_consistent() {
                 let text: Vec<String> = history.iter().map(|event| format!("{event:?}")).collect();
                 let text = text.join(" ");
-                return Err(format!(
-                    "key {key}: no order of its operations explains what was answered: {text}"
-                ));
+                return Err(format!("key {key}: history is not linearizable: {text}"));
             }
             let reads =
                 |event: &HistoryEvent| matches!(event, HistoryEvent::Return(_, RegisterRet::ReadOk(_)));
@@ -572,12 +571,14 @@
                     .map(|m| (m.disk.id, m.node.as_ref().and_then(|n| n.shard_status(shard))))
                     .collect();
                 let at = &self.shard_map.shards()[shard as usize];
-                return Err(format!("key {key} of shard {shard} never answered: {at:?}, {statuses:#?}"));
+                return Err(format!(
+                    "key {key} of shard {shard} has no completed read: {at:?}, {statuses:#?}"
+                ));
             }
         }
         if !self.all_in_sync() {
             return Err(format!(
-                "copies are wanting long after the last fault: {:?}",
+                "shards without a full in-sync set after the settle phase: {:?}",
                 self.shard_map.shards()
             ));
         }
@@ -585,7 +586,8 @@
     }
 }
 
-/// Plays so many schedules on four threads: faults, writes kept, and the first that breaks something.
+/// Runs one schedule per seed on four threads. Returns the numbers of faults and committed writes, and the
+/// lowest failing seed with its error.
 fn run_schedules(seeds: std::ops::Range<u64>, variant: Variant) -> (u64, u64, Option<(u64, String)>) {
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
     let all = std::sync::Mutex::new((0, 0, None::<(u64, String)>));
@@ -616,14 +618,17 @@
 fn history_is_linearizable_under_random_faults() {
     let (faults, committed_writes, broken) = run_schedules(1..201, Variant::Correct);
     assert_eq!(broken, None);
-    assert!(faults > 2_000 && committed_writes > 5_000, "{faults} faults, {committed_writes} writes kept");
+    assert!(
+        faults > 2_000 && committed_writes > 5_000,
+        "{faults} faults, {committed_writes} writes committed"
+    );
 }
 
 #[test]
-#[ignore = "minutes"]
+#[ignore = "takes several minutes"]
 fn history_is_linearizable_under_random_faults_in_30000_schedules() {
     let (faults, committed_writes, broken) = run_schedules(1_000..31_000, Variant::Correct);
-    println!("30000 schedules, {faults} faults, {committed_writes} writes kept");
+    println!("30000 schedules, {faults} faults, {committed_writes} writes committed");
     assert_eq!(broken, None);
 }
 
@@ -631,7 +636,7 @@
 fn checks_detect_each_faulty_variant() {
     for variant in [Variant::PrimaryDiskOnly, Variant::UnconfirmedQueries, Variant::AckBeforeDurable] {
         let (_, _, broken) = run_schedules(1..1_001, variant);
-        let found = broken.is_some_and(|(_, why)| why.contains("no order of its operations"));
-        assert!(found, "{variant:?} was not found");
+        let found = broken.is_some_and(|(_, why)| why.contains("history is not linearizable"));
+        assert!(found, "{variant:?} was not detected");
     }
 }
