--- a/negative_cache/tests/clocks.rs
+++ b/negative_cache/tests/clocks.rs
@@ -39,7 +39,7 @@
     Wall,
 }
 
-struct Member {
+struct RunningNode {
     node: ReplicaNode<NegativeCacheShard>,
     start: u64,
 }
@@ -49,7 +49,7 @@
     monotonic_ms: u64,
     wall_ms: u64,
     shard_map: ShardMap,
-    members: BTreeMap<NodeId, Member>,
+    nodes: BTreeMap<NodeId, RunningNode>,
     responses: BTreeMap<u64, Response<NegativeCacheShard>>,
     last_request: u64,
 }
@@ -61,7 +61,7 @@
             monotonic_ms: 10_000,
             wall_ms: WALL_START_MS,
             shard_map: ShardMap::default(),
-            members: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             responses: BTreeMap::new(),
             last_request: 0,
         };
@@ -92,7 +92,7 @@
 
     fn join(&mut self, id: NodeId, start: u64, stored: Vec<ShardState<NegativeCacheShard>>) {
         let node = ReplicaNode::new(id, start, DRIFT, stored, self.now(), Variant::Correct);
-        self.members.insert(id, Member { node, start });
+        self.nodes.insert(id, RunningNode { node, start });
         let peer = ([127, 0, 0, 1], 9_000 + id as u16).into();
         let at =
             NodeInfo { id, name: format!("p{id}"), machine: format!("m{id}"), zone: "z".to_owned(), peer };
@@ -103,14 +103,14 @@
     fn run_until_idle(&mut self) {
         for _ in 0..8 {
             let (now, version) = (self.now(), self.shard_map.version());
-            for member in self.members.values_mut() {
+            for running in self.nodes.values_mut() {
                 let table = Some(Box::new(self.shard_map.clone()));
-                member.node.map_confirmed(
+                running.node.map_confirmed(
                     now,
                     ShardMapConfirmation { good_ms: 4_000, version, table, up: true },
                     now,
                 );
-                member.node.tick(now);
+                running.node.tick(now);
             }
             while self.exchange_messages() {}
         }
@@ -119,11 +119,11 @@
     fn exchange_messages(&mut self) -> bool {
         let now = self.now();
         let mut sent = Vec::new();
-        for (id, member) in &mut self.members {
+        for (id, running) in &mut self.nodes {
             let Output { messages, writes, last_write, responses, map_changes, .. } =
-                member.node.take_output();
+                running.node.take_output();
             if !writes.is_empty() {
-                member.node.writes_durable(last_write);
+                running.node.writes_durable(last_write);
             }
             self.responses.extend(responses);
             for change in map_changes {
@@ -133,8 +133,8 @@
         }
         let had_messages = !sent.is_empty();
         for (from, to, message) in sent {
-            if let Some(member) = self.members.get_mut(&to) {
-                member.node.receive(now, from, message);
+            if let Some(running) = self.nodes.get_mut(&to) {
+                running.node.receive(now, from, message);
             }
         }
         had_messages
@@ -149,28 +149,28 @@
         match interruption {
             Interruption::None => {}
             Interruption::PrimaryChange => {
-                let member = self.members.remove(&primary).expect("the primary is running");
-                self.shard_map.apply(&ShardMapChange::Down { id: primary, start: member.start });
+                let running = self.nodes.remove(&primary).expect("the primary is running");
+                self.shard_map.apply(&ShardMapChange::Down { id: primary, start: running.start });
             }
             Interruption::Restart => {
-                let member = self.members.remove(&primary).expect("the primary is running");
-                let state = self.stored_state(&member);
-                self.join(primary, member.start + 1, vec![state]);
+                let running = self.nodes.remove(&primary).expect("the primary is running");
+                let state = self.stored_state(&running);
+                self.join(primary, running.start + 1, vec![state]);
             }
         }
         self.run_until_idle();
     }
 
     /// Returns the stored state of a node, assuming that all its writes are durable.
-    fn stored_state(&self, member: &Member) -> ShardState<NegativeCacheShard> {
-        member.node.shard_state(0).expect("the node has a replica of the shard")
+    fn stored_state(&self, running: &RunningNode) -> ShardState<NegativeCacheShard> {
+        running.node.shard_state(0).expect("the node has a replica of the shard")
     }
 
     fn execute(&mut self, operation: Operation) -> Response<NegativeCacheShard> {
         let (now, primary) = (self.now(), self.primary());
         self.last_request += 1;
-        let member = self.members.get_mut(&primary).expect("the primary is running");
-        member.node.execute(now, now + 1_000, self.last_request, 0, operation);
+        let running = self.nodes.get_mut(&primary).expect("the primary is running");
+        running.node.execute(now, now + 1_000, self.last_request, 0, operation);
         self.run_until_idle();
         self.responses.remove(&self.last_request).expect("the request has a response")
     }
@@ -178,9 +178,9 @@
     fn query_key(&mut self) -> LookupResult {
         let (now, primary) = (self.now(), self.primary());
         self.last_request += 1;
-        let member = self.members.get_mut(&primary).expect("the primary is running");
+        let running = self.nodes.get_mut(&primary).expect("the primary is running");
         let lookup = Lookup { key: KEY.to_vec() };
-        member.node.query(now, now + 1_000, self.last_request, 0, lookup);
+        running.node.query(now, now + 1_000, self.last_request, 0, lookup);
         self.run_until_idle();
         match self.responses.remove(&self.last_request) {
             Some(Response::QueryResult(result)) => result,
@@ -256,8 +256,8 @@
     let mut failures = Vec::new();
     for step_ms in WALL_CLOCK_STEPS_MS {
         for interruption in INTERRUPTIONS {
-            if let Err(why) = scenario(source, step_ms, interruption) {
-                failures.push(format!("wall clock step of {step_ms} ms, {interruption:?}: {why}"));
+            if let Err(error) = scenario(source, step_ms, interruption) {
+                failures.push(format!("wall clock step of {step_ms} ms, {interruption:?}: {error}"));
             }
         }
     }
@@ -277,11 +277,14 @@
 #[test]
 fn checks_detect_nodes_that_use_the_wall_clock() {
     let mut found = failures(check_tombstone_lifetime, ClockSource::Wall);
-    assert!(found.iter().any(|why| why.contains("key reported missing during its tombstone")), "{found:?}");
+    assert!(
+        found.iter().any(|error| error.contains("key reported missing during its tombstone")),
+        "{found:?}"
+    );
     found.extend(failures(check_entry_lifetime, ClockSource::Wall));
-    assert!(found.iter().any(|why| why.contains("entry found after its TTL")), "{found:?}");
-    for step_ms in WALL_CLOCK_STEPS_MS.into_iter().filter(|step| *step != 0) {
+    assert!(found.iter().any(|error| error.contains("entry found after its TTL")), "{found:?}");
+    for step_ms in WALL_CLOCK_STEPS_MS.into_iter().filter(|step_ms| *step_ms != 0) {
         let step = format!("wall clock step of {step_ms} ms");
-        assert!(found.iter().any(|why| why.contains(&step)), "{step} was not detected: {found:?}");
+        assert!(found.iter().any(|error| error.contains(&step)), "{step} was not detected: {found:?}");
     }
 }
--- a/negative_cache/tests/model.rs
+++ b/negative_cache/tests/model.rs
@@ -86,8 +86,8 @@
         }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
-        for (i, lookup) in s.lookups.iter().enumerate() {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (i, lookup) in state.lookups.iter().enumerate() {
             match lookup {
                 LookupState::Idle => actions.push(Action::StartLookup(i)),
                 LookupState::Querying(_) => actions.push(Action::OriginResponse(i)),
@@ -95,66 +95,70 @@
                 LookupState::Done => {}
             }
         }
-        match s.write {
+        match state.write {
             WriteState::Idle => actions.push(Action::ExecuteWrite),
             WriteState::Executed if *self == Variant::AckBeforeInvalidation => {
                 actions.push(Action::AcknowledgeWrite);
             }
             WriteState::Executed => actions.push(Action::Invalidate),
             WriteState::Invalidated => actions.push(Action::AcknowledgeWrite),
-            WriteState::Acknowledged if !s.invalidated => actions.push(Action::Invalidate),
+            WriteState::Acknowledged if !state.invalidated => actions.push(Action::Invalidate),
             WriteState::Acknowledged => {}
         }
         actions.push(Action::Read);
     }
 
-    fn next_state(&self, s: &State, action: Action) -> Option<State> {
-        let mut s = s.clone();
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
+        let mut state = state.clone();
         let lookup = Lookup { key: KEY.to_vec() };
         match action {
             Action::StartLookup(i) => {
-                s.lookups[i] = match s.cache.query(&s.times, &lookup, NOW_MS) {
+                state.lookups[i] = match state.cache.query(&state.times, &lookup, NOW_MS) {
                     LookupResult::KnownMissing => LookupState::Done,
                     LookupResult::Unknown { token } => LookupState::Querying(token),
                 }
             }
             Action::OriginResponse(i) => {
-                let LookupState::Querying(token) = s.lookups[i] else { return None };
-                s.lookups[i] =
-                    if s.origin_has_key { LookupState::Done } else { LookupState::NotFound(token) };
+                let LookupState::Querying(token) = state.lookups[i] else { return None };
+                state.lookups[i] =
+                    if state.origin_has_key { LookupState::Done } else { LookupState::NotFound(token) };
             }
             Action::InsertEntry(i) => {
-                let LookupState::NotFound(token) = s.lookups[i] else { return None };
-                let token =
-                    match (self, s.cache.query(&s.times, &Lookup { key: b"another".to_vec() }, NOW_MS)) {
-                        (Variant::IgnoreToken, LookupResult::Unknown { token }) => token,
-                        _ => token,
-                    };
-                s.apply(&Operation::insert(KEY.to_vec(), token, Duration::ZERO, 0));
-                s.lookups[i] = LookupState::Done;
+                let LookupState::NotFound(token) = state.lookups[i] else { return None };
+                let token = match (
+                    self,
+                    state.cache.query(&state.times, &Lookup { key: b"another".to_vec() }, NOW_MS),
+                ) {
+                    (Variant::IgnoreToken, LookupResult::Unknown { token }) => token,
+                    _ => token,
+                };
+                state.apply(&Operation::insert(KEY.to_vec(), token, Duration::ZERO, 0));
+                state.lookups[i] = LookupState::Done;
             }
-            Action::LoseInsert(i) => s.lookups[i] = LookupState::Done,
-            Action::ExecuteWrite => (s.origin_has_key, s.write) = (true, WriteState::Executed),
+            Action::LoseInsert(i) => state.lookups[i] = LookupState::Done,
+            Action::ExecuteWrite => (state.origin_has_key, state.write) = (true, WriteState::Executed),
             Action::Invalidate => {
-                s.apply(&Operation::Invalidate { key: KEY.to_vec() });
-                s.invalidated = true;
-                if s.write == WriteState::Executed {
-                    s.write = WriteState::Invalidated;
+                state.apply(&Operation::Invalidate { key: KEY.to_vec() });
+                state.invalidated = true;
+                if state.write == WriteState::Executed {
+                    state.write = WriteState::Invalidated;
                 }
             }
-            Action::AcknowledgeWrite => s.write = WriteState::Acknowledged,
+            Action::AcknowledgeWrite => state.write = WriteState::Acknowledged,
             Action::Read => {
-                s.false_missing |= s.write == WriteState::Acknowledged
-                    && s.cache.query(&s.times, &lookup, NOW_MS) == LookupResult::KnownMissing;
+                state.false_missing |= state.write == WriteState::Acknowledged
+                    && state.cache.query(&state.times, &lookup, NOW_MS) == LookupResult::KnownMissing;
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("not reported missing after acknowledgement", |_, s: &State| !s.false_missing),
-            Property::sometimes("an entry is inserted", |_, s: &State| !s.cache.is_empty()),
+            Property::always("not reported missing after acknowledgement", |_, state: &State| {
+                !state.false_missing
+            }),
+            Property::sometimes("an entry is inserted", |_, state: &State| !state.cache.is_empty()),
         ]
     }
 }
--- a/replication/src/node/roles.rs
+++ b/replication/src/node/roles.rs
@@ -76,8 +76,8 @@
 /// Returns the initial progress of the in-sync and joining nodes other than this one. Progress from earlier
 /// epochs does not carry over.
 fn initial_backups(shard: &Shard, id: NodeId, now: Millis) -> BTreeMap<NodeId, BackupProgress> {
-    let others = shard.in_sync.iter().chain(&shard.joining).filter(|member| **member != id);
-    others.map(|member| (*member, BackupProgress::new(1, shard.in_sync.contains(member), now))).collect()
+    let others = shard.in_sync.iter().chain(&shard.joining).filter(|node| **node != id);
+    others.map(|node| (*node, BackupProgress::new(1, shard.in_sync.contains(node), now))).collect()
 }
 
 impl<C: ReplicatedState> Replica<C> {
@@ -94,11 +94,11 @@
 
 impl<C: ReplicatedState> PrimaryState<C> {
     fn update_joining(&mut self, shard: &Shard, id: NodeId, now: Millis) {
-        self.backups.retain(|member, _| shard.in_sync.contains(member) || shard.joining.contains(member));
-        for member in shard.joining.iter().filter(|member| **member != id) {
+        self.backups.retain(|node, _| shard.in_sync.contains(node) || shard.joining.contains(node));
+        for node in shard.joining.iter().filter(|node| **node != id) {
             self.round += 1;
             let round = self.round;
-            self.backups.entry(*member).or_insert_with(|| BackupProgress::new(round, false, now));
+            self.backups.entry(*node).or_insert_with(|| BackupProgress::new(round, false, now));
         }
     }
 }
--- a/replication/tests/faults.rs
+++ b/replication/tests/faults.rs
@@ -28,11 +28,11 @@
     type QueryResult = u64;
     type LocalTimes = ();
 
-    fn apply(&mut self, op: &(u8, u64)) {
-        self.0.insert(op.0, op.1);
+    fn apply(&mut self, operation: &(u8, u64)) {
+        self.0.insert(operation.0, operation.1);
     }
 
-    fn record_applied(&self, _times: &mut (), _op: &(u8, u64), _out: &(), _now: u64) {}
+    fn record_applied(&self, _times: &mut (), _operation: &(u8, u64), _outcome: &(), _now: u64) {}
 
     fn restored_times(&self, _now: u64) {}
 
@@ -115,7 +115,7 @@
 }
 
 enum Event {
-    At(usize, u64, Delivery),
+    Deliver(usize, u64, Delivery),
     GroupRequest(usize, u64, GroupRequest),
     Fault,
 }
@@ -128,7 +128,7 @@
 struct Simulation {
     now: u64,
     rng: ChaCha8Rng,
-    schedule_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
     machines: Vec<Machine>,
     shard_map: ShardMap,
@@ -158,7 +158,7 @@
         let mut simulation = Simulation {
             now: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            schedule_queue: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: Vec::new(),
             machines: Vec::new(),
             shard_map: ShardMap::default(),
@@ -197,7 +197,7 @@
     fn schedule(&mut self, after: u64, event: Event) {
         self.events.push(Some(event));
         let n = self.events.len() - 1;
-        self.schedule_queue.push(Reverse((self.now + after, n as u64, n)));
+        self.queue.push(Reverse((self.now + after, n as u64, n)));
     }
 
     fn clock(&self, m: usize) -> u64 {
@@ -221,7 +221,7 @@
         (machine.joined, machine.paused, machine.next_group_request_at) = (false, false, 0);
         machine.deferred.clear();
         let incarnation = machine.incarnation;
-        self.schedule(1, Event::At(m, incarnation, Delivery::Tick));
+        self.schedule(1, Event::Deliver(m, incarnation, Delivery::Tick));
     }
 
     fn kill(&mut self, m: usize) {
@@ -248,9 +248,9 @@
     /// Carries out the actions that a node has requested.
     fn process_output(&mut self, m: usize) {
         let Some(node) = &mut self.machines[m].node else { return };
-        let out = node.take_output();
+        let output = node.take_output();
         let (from, incarnation) = (self.machines[m].disk.id, self.machines[m].incarnation);
-        for (to, message) in out.messages {
+        for (to, message) in output.messages {
             let Some(to) = self.machine_of(to) else { continue };
             if self.cut_links.contains(&(m, to)) {
                 continue;
@@ -258,20 +258,23 @@
             let duplicate = self.rng.random_ratio(1, 50);
             for _ in 0..=usize::from(duplicate) {
                 let (after, to_incarnation) = (self.delay(), self.machines[to].incarnation);
-                self.schedule(after, Event::At(to, to_incarnation, Delivery::Message(from, message.clone())));
+                self.schedule(
+                    after,
+                    Event::Deliver(to, to_incarnation, Delivery::Message(from, message.clone())),
+                );
             }
         }
-        if !out.writes.is_empty() {
-            self.machines[m].disk.unsynced.push((out.last_write, out.writes));
+        if !output.writes.is_empty() {
+            self.machines[m].disk.unsynced.push((output.last_write, output.writes));
             let after = self.rng.random_range(1..15);
-            self.schedule(after, Event::At(m, incarnation, Delivery::Durable(out.last_write)));
+            self.schedule(after, Event::Deliver(m, incarnation, Delivery::Durable(output.last_write)));
         }
-        for change in out.map_changes {
+        for change in output.map_changes {
             self.send_to_group(m, GroupRequest::ShardMapChange(change));
         }
-        self.node_events += out.events.len() as u64;
-        for (req, response) in out.responses {
-            self.handle_response(m, req, response);
+        self.node_events += output.events.len() as u64;
+        for (request, response) in output.responses {
+            self.handle_response(m, request, response);
         }
     }
 
@@ -282,13 +285,13 @@
         }
     }
 
-    fn handle_response(&mut self, m: usize, req: u64, response: Response<Registers>) {
+    fn handle_response(&mut self, m: usize, request: u64, response: Response<Registers>) {
         let Some((pending, client_request, thread)) = self.machines[m].client else { return };
-        if pending != req {
+        if pending != request {
             return;
         }
         self.machines[m].client = None;
-        let returned = match (client_request, response) {
+        let register_return = match (client_request, response) {
             (ClientRequest::Set(key, _), Response::Committed(())) => {
                 self.committed_writes += 1;
                 Some((key, RegisterRet::WriteOk))
@@ -313,7 +316,7 @@
             }
             (ClientRequest::Set(..), _) => None,
         };
-        if let Some((key, returned)) = returned {
+        if let Some((key, returned)) = register_return {
             self.histories.entry(key).or_default().push(HistoryEvent::Return(thread, returned));
         }
     }
@@ -331,7 +334,7 @@
         // In the settle phase every key is read in turn.
         let next_key = (self.last_thread % u64::from(KEYS)) as u8;
         let key = if self.settling { next_key } else { self.rng.random_range(0..KEYS) };
-        let (req, thread) = (self.last_thread, self.last_thread);
+        let (request, thread) = (self.last_thread, self.last_thread);
         let is_set = !self.settling && self.rng.random();
         let client_request = if is_set {
             self.last_value += 1;
@@ -344,21 +347,21 @@
             ClientRequest::Get(_) => RegisterOp::Read,
         };
         self.histories.entry(key).or_default().push(HistoryEvent::Invoke(thread, invoke));
-        self.machines[m].client = Some((req, client_request, thread));
+        self.machines[m].client = Some((request, client_request, thread));
         let shard = shard_of(&[key], PARAMETERS.shards);
         let Some(node) = &mut self.machines[m].node else { return };
         match client_request {
             ClientRequest::Set(key, value) => {
-                node.execute(clock, clock + CLIENT_TIMEOUT_MS, req, shard, (key, value));
+                node.execute(clock, clock + CLIENT_TIMEOUT_MS, request, shard, (key, value));
             }
-            ClientRequest::Get(key) => node.query(clock, clock + CLIENT_TIMEOUT_MS, req, shard, key),
+            ClientRequest::Get(key) => node.query(clock, clock + CLIENT_TIMEOUT_MS, request, shard, key),
         }
     }
 
     fn tick(&mut self, m: usize) {
         let clock = self.clock(m);
         let incarnation = self.machines[m].incarnation;
-        self.schedule(20, Event::At(m, incarnation, Delivery::Tick));
+        self.schedule(20, Event::Deliver(m, incarnation, Delivery::Tick));
         if clock >= self.machines[m].next_group_request_at {
             self.machines[m].next_group_request_at = clock + CONFIRMATION_VALID_MS / 4;
             let Some(node) = &self.machines[m].node else { return };
@@ -382,10 +385,10 @@
     fn handle_group_request(&mut self, m: usize, incarnation: u64, request: GroupRequest) {
         let response = match request {
             GroupRequest::ShardMapChange(change) => {
-                let changed = self.shard_map.apply(&change);
+                let outcome = self.shard_map.apply(&change);
                 let ShardMapChange::Join { at, .. } = change else { return };
                 self.last_confirmed_at.insert(at.id, self.now);
-                Delivery::Joined(changed)
+                Delivery::Joined(outcome)
             }
             GroupRequest::Confirm { node, have, sent } => {
                 let up = self.shard_map.up().any(|n| n == node);
@@ -403,7 +406,7 @@
         };
         if !self.cut_links.contains(&(GROUP, m)) {
             let after = self.delay();
-            self.schedule(after, Event::At(m, incarnation, response));
+            self.schedule(after, Event::Deliver(m, incarnation, response));
         }
     }
 
@@ -441,9 +444,9 @@
                     node.receive(clock, from, message);
                 }
             }
-            Delivery::Joined(changed) => match changed {
+            Delivery::Joined(outcome) => match outcome {
                 ShardMapOutcome::Done => self.machines[m].joined = true,
-                ShardMapOutcome::Refused(why) => panic!("{why}"),
+                ShardMapOutcome::Refused(error) => panic!("{error}"),
                 ShardMapOutcome::Stale => {
                     self.kill(m);
                     return self.start(m);
@@ -468,11 +471,11 @@
 
     /// Returns whether every in-sync replica is on a running machine whose disk was not wiped.
     fn all_in_sync_running(&self) -> bool {
-        let runs = |id: &NodeId| self.machines.iter().any(|m| m.disk.id == *id && m.node.is_some());
-        self.shard_map.shards().iter().all(|s| s.in_sync.iter().all(runs))
+        let is_running = |id: &NodeId| self.machines.iter().any(|m| m.disk.id == *id && m.node.is_some());
+        self.shard_map.shards().iter().all(|s| s.in_sync.iter().all(is_running))
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         if self.now >= FAULT_PHASE_MS {
             return;
         }
@@ -519,7 +522,7 @@
 
     fn run(&mut self) {
         let mut next_expiry_at = 0;
-        while let Some(Reverse((at, _, n))) = self.schedule_queue.pop() {
+        while let Some(Reverse((at, _, n))) = self.queue.pop() {
             if at > FAULT_PHASE_MS + SETTLE_PHASE_MS {
                 break;
             }
@@ -536,11 +539,11 @@
                 self.expire_silent_nodes();
             }
             match self.events[n].take() {
-                Some(Event::At(m, incarnation, delivery)) => self.deliver(m, incarnation, delivery),
+                Some(Event::Deliver(m, incarnation, delivery)) => self.deliver(m, incarnation, delivery),
                 Some(Event::GroupRequest(m, incarnation, request)) => {
                     self.handle_group_request(m, incarnation, request);
                 }
-                Some(Event::Fault) => self.fault(),
+                Some(Event::Fault) => self.inject_fault(),
                 None => {}
             }
         }
@@ -557,22 +560,22 @@
                 accepted.map_err(|e| format!("key {key}: {e}"))?;
             }
             if !tester.is_consistent() {
-                let text: Vec<String> = history.iter().map(|event| format!("{event:?}")).collect();
-                let text = text.join(" ");
-                return Err(format!("key {key}: history is not linearizable: {text}"));
+                let history_text: Vec<String> = history.iter().map(|event| format!("{event:?}")).collect();
+                let history_text = history_text.join(" ");
+                return Err(format!("key {key}: history is not linearizable: {history_text}"));
             }
-            let reads =
+            let is_completed_read =
                 |event: &HistoryEvent| matches!(event, HistoryEvent::Return(_, RegisterRet::ReadOk(_)));
-            if !history.iter().any(reads) {
+            if !history.iter().any(is_completed_read) {
                 let shard = shard_of(&[*key], PARAMETERS.shards);
                 let statuses: Vec<_> = self
                     .machines
                     .iter()
                     .map(|m| (m.disk.id, m.node.as_ref().and_then(|n| n.shard_status(shard))))
                     .collect();
-                let at = &self.shard_map.shards()[shard as usize];
+                let shard_state = &self.shard_map.shards()[shard as usize];
                 return Err(format!(
-                    "key {key} of shard {shard} has no completed read: {at:?}, {statuses:#?}"
+                    "key {key} of shard {shard} has no completed read: {shard_state:?}, {statuses:#?}"
                 ));
             }
         }
@@ -590,7 +593,7 @@
 /// lowest failing seed with its error.
 fn run_schedules(seeds: std::ops::Range<u64>, variant: Variant) -> (u64, u64, Option<(u64, String)>) {
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
-    let all = std::sync::Mutex::new((0, 0, None::<(u64, String)>));
+    let totals = std::sync::Mutex::new((0, 0, None::<(u64, String)>));
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| loop {
@@ -600,24 +603,25 @@
                 }
                 let mut simulation = Simulation::new(seed, variant);
                 simulation.run();
-                let checked = simulation.check();
-                let mut all = all.lock().unwrap();
-                (all.0, all.1) = (all.0 + u64::from(simulation.faults), all.1 + simulation.committed_writes);
-                if let Err(why) = checked {
-                    if all.2.as_ref().is_none_or(|(s, _)| seed < *s) {
-                        all.2 = Some((seed, why));
+                let result = simulation.check();
+                let mut totals = totals.lock().unwrap();
+                (totals.0, totals.1) =
+                    (totals.0 + u64::from(simulation.faults), totals.1 + simulation.committed_writes);
+                if let Err(error) = result {
+                    if totals.2.as_ref().is_none_or(|(s, _)| seed < *s) {
+                        totals.2 = Some((seed, error));
                     }
                 }
             });
         }
     });
-    all.into_inner().unwrap()
+    totals.into_inner().unwrap()
 }
 
 #[test]
 fn history_is_linearizable_under_random_faults() {
-    let (faults, committed_writes, broken) = run_schedules(1..201, Variant::Correct);
-    assert_eq!(broken, None);
+    let (faults, committed_writes, failure) = run_schedules(1..201, Variant::Correct);
+    assert_eq!(failure, None);
     assert!(
         faults > 2_000 && committed_writes > 5_000,
         "{faults} faults, {committed_writes} writes committed"
@@ -627,16 +631,16 @@
 #[test]
 #[ignore = "takes several minutes"]
 fn history_is_linearizable_under_random_faults_in_30000_schedules() {
-    let (faults, committed_writes, broken) = run_schedules(1_000..31_000, Variant::Correct);
+    let (faults, committed_writes, failure) = run_schedules(1_000..31_000, Variant::Correct);
     println!("30000 schedules, {faults} faults, {committed_writes} writes committed");
-    assert_eq!(broken, None);
+    assert_eq!(failure, None);
 }
 
 #[test]
 fn checks_detect_each_faulty_variant() {
     for variant in [Variant::PrimaryDiskOnly, Variant::UnconfirmedQueries, Variant::AckBeforeDurable] {
-        let (_, _, broken) = run_schedules(1..1_001, variant);
-        let found = broken.is_some_and(|(_, why)| why.contains("history is not linearizable"));
+        let (_, _, failure) = run_schedules(1..1_001, variant);
+        let found = failure.is_some_and(|(_, error)| error.contains("history is not linearizable"));
         assert!(found, "{variant:?} was not detected");
     }
 }
