--- a/replication/src/message.rs
+++ b/replication/src/message.rs
@@ -7,7 +7,7 @@
 /// A message from one node to another.
 ///
 /// Messages between a primary and a backup carry the shard, the primary's epoch and the round in which the
-/// backup was last synchronized. A message of another epoch or round is outdated and is ignored.
+/// backup was last synchronized. Receivers ignore messages of another epoch or of an earlier round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum Message<C: ReplicatedState> {
--- a/replication/src/node/primary.rs
+++ b/replication/src/node/primary.rs
@@ -76,8 +76,8 @@
         self.output.messages.extend(unsynchronized.into_iter().map(digest_message));
     }
 
-    /// Commits the operations that are durable on every in-sync replica, and proposes to add backups that
-    /// have caught up to the in-sync set.
+    /// Commits the operations that are durable on every in-sync replica, and proposes to add
+    /// caught-up backups to the in-sync set.
     pub(super) fn advance_commit(&mut self, shard: u32) {
         let Some(replica) = self.replicas.get_mut(&shard) else { return };
         let (durable, epoch) = (replica.durable, replica.epoch);
