--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -1,14 +1,15 @@
-//! Frames between nodes: a length, the version of the format, who sends, and the message by `postcard`.
+//! Encoding of messages between nodes. A frame consists of a 4-byte big-endian length, the format version,
+//! and the sender and message encoded with `postcard`.
 
 use crate::{Message, ReplicatedState};
 use notchdoor_coordination::shard_map::NodeId;
 pub use notchdoor_coordination::wire::FrameError;
 use serde::{Deserialize, Serialize};
 
-/// The version of the format. Another one is refused by its number: nothing of it is guessed at.
-pub const VERSION: u8 = 1;
-/// Bytes of a frame at the most, its length aside.
-pub const MAX_FRAME: usize = 4 << 20;
+/// The version of the wire format. Frames with any other version are rejected.
+pub const FORMAT_VERSION: u8 = 1;
+/// Maximum length of a frame in bytes, without the length field.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
@@ -17,20 +18,21 @@
     message: Message<C>,
 }
 
-/// Writes a frame; none where the message is larger than any frame.
+/// Appends a frame to `out`. Returns false and leaves `out` unchanged if the message cannot be encoded or
+/// exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<C: ReplicatedState>(from: NodeId, message: &Message<C>, out: &mut Vec<u8>) -> bool {
     let body = Body { from, message: message.clone() };
     let Ok(bytes) = postcard::to_stdvec(&body) else { return false };
-    if bytes.len() + 1 > MAX_FRAME {
+    if bytes.len() + 1 > MAX_FRAME_BYTES {
         return false;
     }
     out.extend_from_slice(&(bytes.len() as u32 + 1).to_be_bytes());
-    out.push(VERSION);
+    out.push(FORMAT_VERSION);
     out.extend_from_slice(&bytes);
     true
 }
 
-/// Frames out of a stream of bytes, fed as they come.
+/// Decodes frames from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buf: Vec<u8>,
@@ -38,30 +40,34 @@
 }
 
 impl Decoder {
-    /// Takes bytes read from the stream: no more than [`Decoder::room`] at once.
-    pub fn feed(&mut self, bytes: &[u8]) {
+    /// Appends bytes read from the stream. The caller passes at most [`Decoder::remaining_capacity`] bytes.
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// How many more bytes may be fed before a frame must be taken out.
-    pub fn room(&self) -> usize {
-        (MAX_FRAME + 4).saturating_sub(self.buf.len())
+    /// Returns how many more bytes fit before [`Decoder::next_message`] must consume a frame.
+    pub fn remaining_capacity(&self) -> usize {
+        (MAX_FRAME_BYTES + 4).saturating_sub(self.buf.len())
     }
 
-    /// The next whole message and who sent it, if one is in.
+    /// Returns the next complete message with its sender, or `None` if more bytes are needed.
     pub fn next_message<C: ReplicatedState>(&mut self) -> Result<Option<(NodeId, Message<C>)>, FrameError> {
-        let Some(head) = self.buf.first_chunk::<4>() else { return Ok(None) };
-        let length = u32::from_be_bytes(*head) as usize;
-        let wrong = |why: String| FrameError { at: self.offset, why };
-        if !(1..=MAX_FRAME).contains(&length) {
-            return Err(wrong(format!("a length of {length}, where 1 to {MAX_FRAME} are taken")));
+        let Some(length_bytes) = self.buf.first_chunk::<4>() else { return Ok(None) };
+        let length = u32::from_be_bytes(*length_bytes) as usize;
+        let frame_error = |why: String| FrameError { at: self.offset, why };
+        if !(1..=MAX_FRAME_BYTES).contains(&length) {
+            return Err(frame_error(format!(
+                "invalid frame length {length} (expected 1 to {MAX_FRAME_BYTES})"
+            )));
         }
         let Some(&version) = self.buf.get(4) else { return Ok(None) };
-        if version != VERSION {
-            return Err(wrong(format!("version {version} of the format, where {VERSION} is spoken")));
+        if version != FORMAT_VERSION {
+            return Err(frame_error(format!(
+                "unsupported wire format version {version} (expected {FORMAT_VERSION})"
+            )));
         }
         let Some(bytes) = self.buf.get(5..4 + length) else { return Ok(None) };
-        let body: Body<C> = postcard::from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
+        let body: Body<C> = postcard::from_bytes(bytes).map_err(|e| frame_error(e.to_string()))?;
         self.buf.drain(..4 + length);
         self.offset += 4 + length as u64;
         Ok(Some((body.from, body.message)))
