--- a/src/router.rs
+++ b/src/router.rs
@@ -105,12 +105,12 @@
     /// Takes one event and appends what is to be done at once to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(endpoints) => self.list_arrived(now, endpoints, ListUpdate::Full, actions),
+            Event::EndpointList(endpoints) => self.apply_endpoints(now, endpoints, ListUpdate::Full, actions),
             Event::EndpointUpdate(endpoints) => {
-                self.list_arrived(now, endpoints, ListUpdate::Incremental, actions);
+                self.apply_endpoints(now, endpoints, ListUpdate::Incremental, actions);
             }
-            Event::DiscoveryError => self.discovery_failed(actions),
-            Event::Arrived(request) => self.request_arrived(now, request, actions),
+            Event::DiscoveryError => self.handle_discovery_error(actions),
+            Event::Arrived(request) => self.handle_arrival(now, request, actions),
             Event::ReplyStarted { id, attempt, took } => self.reply_started(now, id, attempt, took, actions),
             Event::AttemptEnded { id, attempt, outcome, took, last } => {
                 let end = AttemptEnd { id, attempt: attempt as usize, outcome, took, last };
@@ -120,22 +120,22 @@
                 self.close(id, actions);
                 self.release_if_done(id);
             }
-            Event::HedgeGranted(id) => self.read_is_slow(now, id, true, actions),
+            Event::HedgeGranted(id) => self.handle_slow_read(now, id, true, actions),
             Event::AnswerNow(id) => self.send_final_answer(now, id, actions),
-            Event::Timer(token) => self.timer_fired(now, token, actions),
+            Event::Timer(token) => self.handle_timer(now, token, actions),
         }
     }
 
-    fn timer_fired(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match RouterTimer::from_token(token) {
-            Some(RouterTimer::SlowRead(id)) => self.read_is_slow(now, id, false, actions),
+            Some(RouterTimer::SlowRead(id)) => self.handle_slow_read(now, id, false, actions),
             Some(RouterTimer::Deadline(id)) => self.give_final_answer(now, id, actions),
             Some(RouterTimer::Discovery) => actions.push(Action::Watch),
             None => {}
         }
     }
 
-    fn list_arrived(
+    fn apply_endpoints(
         &mut self,
         now: Micros,
         endpoints: &[Endpoint],
@@ -146,28 +146,28 @@
         if self.discovery.record_update() {
             actions.push(Action::Watch);
         }
-        self.weigh_backends(now);
+        self.update_weights(now);
     }
 
-    fn discovery_failed(&mut self, actions: &mut Vec<Action>) {
+    fn handle_discovery_error(&mut self, actions: &mut Vec<Action>) {
         if let Some(after) = self.discovery.record_failure(&mut self.random) {
             actions.push(Action::Timer { after, token: RouterTimer::Discovery.token() });
         }
     }
 
-    fn weigh_backends(&mut self, now: Micros) {
-        self.backends.weigh(now, &self.settings);
+    fn update_weights(&mut self, now: Micros) {
+        self.backends.update_weights(now, &self.settings);
         self.outliers.evaluate(now, &mut self.backends);
     }
 
-    fn request_arrived(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        self.key_counts.advance(now, self.backends.len());
+    fn handle_arrival(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        self.key_counts.start_epoch_if_due(now, self.backends.len());
         self.hit_rate.update(now);
         if let Some(key) = request.key.filter(|_| !request.write) {
             self.key_counts.record_read(key);
         }
         if self.backends.weights_are_stale(now) {
-            self.weigh_backends(now);
+            self.update_weights(now);
         }
         let Request { id, tenant, deadline, write, .. } = request;
         let standing = match self.quotas.decide(now, tenant, &mut self.random) {
--- a/src/router/attempt_results.rs
+++ b/src/router/attempt_results.rs
@@ -1,6 +1,6 @@
 //! Takes in how attempts go: a reply that begins, an end, or silence; learns from it, and retries.
 
-use super::congestion_window::{Completion, MIN_WINDOW, MIN_WINDOW_WHILE_DOWN, SAMPLES};
+use super::congestion_window::{Completion, MEAN_SAMPLES, MIN_WINDOW, MIN_WINDOW_WHILE_DOWN};
 use super::in_flight::{Attempt, AttemptKind};
 use super::Router;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
@@ -18,7 +18,7 @@
 }
 
 /// Whether the outcome may mean that the server is congested or down.
-fn is_failure(outcome: Outcome) -> bool {
+fn is_server_failure(outcome: Outcome) -> bool {
     matches!(
         outcome,
         Outcome::Error | Outcome::Rejected | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset
@@ -43,9 +43,9 @@
     ) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         request.streaming = true;
-        for (other, state) in request.attempts.iter().enumerate() {
-            if other as u32 != attempt && state.is_outstanding() && self.settings.may_cancel {
-                actions.push(Action::Cancel { id, attempt: other as u32 });
+        for (index, state) in request.attempts.iter().enumerate() {
+            if index as u32 != attempt && state.is_outstanding() && self.settings.may_cancel {
+                actions.push(Action::Cancel { id, attempt: index as u32 });
             }
         }
         let Some(attempt) = request.attempts.get_mut(attempt as usize) else { return };
@@ -55,7 +55,7 @@
         attempt.streaming = true;
         let started = *attempt;
         attempt.coalesced_fetch = None;
-        self.learn(now, &started, Outcome::Ok, took);
+        self.record_result(now, &started, Outcome::Ok, took);
         if let Some(fetch) = started.coalesced_fetch {
             self.finish_fetch(now, fetch, true, actions);
         }
@@ -64,7 +64,7 @@
     /// A read that its cache has not answered for long. A server that takes requests and never answers must
     /// be noticed while it lasts, not when the client has given up. `hedge_granted` is a layer's leave to
     /// send a hedged request; unasked none is sent, for they cost more than they saved.
-    pub(super) fn read_is_slow(
+    pub(super) fn handle_slow_read(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -72,8 +72,12 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.in_flight.get(&id).filter(|request| request.awaits_answer()) else { return };
-        let silent = |attempt: &&Attempt| attempt.is_outstanding() && !attempt.is_origin_call();
-        let Some(&Attempt { backend, sent_at, .. }) = request.attempts.iter().find(silent) else { return };
+        let outstanding_cache_read =
+            |attempt: &&Attempt| attempt.is_outstanding() && !attempt.is_origin_call();
+        let Some(&Attempt { backend, sent_at, .. }) = request.attempts.iter().find(outstanding_cache_read)
+        else {
+            return;
+        };
         let class = self.settings.class_of(&request.request);
         let idempotent = class.is_some_and(|class| class.effect == Effect::Idempotent);
         let may_hedge = idempotent && !request.request.write && request.attempts.len() == 1;
@@ -95,29 +99,29 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_outstanding()) else { return };
         attempt.end(outcome);
         let ended = *attempt;
-        let was_over = request.over;
-        request.over |= end.last;
+        let was_done = request.done;
+        request.done |= end.last;
         if outcome == Outcome::Miss && !ended.is_origin_call() {
             request.missed_at = Some(ended.backend);
         }
         let backend = &mut self.backends[ended.backend];
         backend.outstanding = backend.outstanding.saturating_sub(1);
         if !ended.streaming {
-            self.learn(now, &ended, outcome, end.took);
+            self.record_result(now, &ended, outcome, end.took);
         }
-        if end.last && !was_over {
+        if end.last && !was_done {
             if outcome == Outcome::Ok {
                 self.quotas.record_success(self.in_flight[&id].quota);
             }
             self.close(id, actions);
         }
-        if outcome != Outcome::Ok && !self.in_flight[&id].over {
+        if outcome != Outcome::Ok && !self.in_flight[&id].done {
             self.retry(now, id, ended.kind, outcome, actions);
         }
         self.release_if_done(id);
         let request = self.in_flight.get(&id);
-        let fetches_again = request.is_some_and(|request| request.has_outstanding_coalesced_fetch());
-        if let Some(fetch) = ended.coalesced_fetch.filter(|_| !fetches_again) {
+        let fetch_restarted = request.is_some_and(|request| request.has_outstanding_coalesced_fetch());
+        if let Some(fetch) = ended.coalesced_fetch.filter(|_| !fetch_restarted) {
             // What was malformed on its way here has been stored all the same.
             let stored = matches!(outcome, Outcome::Ok | Outcome::MalformedReply);
             self.finish_fetch(now, fetch, stored, actions);
@@ -167,48 +171,48 @@
     }
 
     /// What an attempt's end, or the beginning of its reply, tells of its server and the windows.
-    fn learn(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome, took: Option<Micros>) {
-        let failed = is_failure(outcome);
-        let cut_short = self.was_cut_short(now, attempt, outcome);
-        let failed_to_serve = failed && !cut_short && outcome != Outcome::Rejected;
+    fn record_result(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome, took: Option<Micros>) {
+        let failed = is_server_failure(outcome);
+        let timed_out_early = self.timed_out_early(now, attempt, outcome);
+        let failed_to_serve = failed && !timed_out_early && outcome != Outcome::Rejected;
         let window = match attempt.kind {
             AttemptKind::OriginCall => &mut self.origin_window,
             AttemptKind::CacheRead => &mut self.backends[attempt.backend].window,
         };
-        let isolated = !window.record_failure(failed_to_serve) && failed_to_serve;
-        let down = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
-        let least = if down { MIN_WINDOW_WHILE_DOWN } else { MIN_WINDOW };
-        let conclusive = !cut_short && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent);
+        let isolated_failure = !window.record_failure(failed_to_serve) && failed_to_serve;
+        let unreachable = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
+        let min_window = if unreachable { MIN_WINDOW_WHILE_DOWN } else { MIN_WINDOW };
+        let conclusive = !timed_out_early && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent);
         // What counts is the server's own time, where it can be told: large values and new connections must
         // not pass for congestion. A time-out took as long as was waited.
         let replied = is_reply(outcome);
         let completion = Completion {
             sent_at: attempt.sent_at,
             delay: took.filter(|_| replied).unwrap_or(now - attempt.sent_at),
-            breach: (failed && !cut_short && !isolated).then_some(least),
-            conclusive: conclusive && !isolated && (took.is_some() || !replied),
+            forced_cut_floor: (failed && !timed_out_early && !isolated_failure).then_some(min_window),
+            conclusive: conclusive && !isolated_failure && (took.is_some() || !replied),
         };
         match attempt.kind {
             AttemptKind::OriginCall => self.origin_window.record_completion(now, completion),
             AttemptKind::CacheRead => {
-                self.learn_of_cache_windows(now, attempt, outcome, completion);
-                self.learn_of_cache_health(now, attempt, outcome, took, conclusive);
+                self.record_in_cache_windows(now, attempt, outcome, completion);
+                self.record_in_cache_health(now, attempt, outcome, took, conclusive);
             }
         }
     }
 
     /// Whether a time-out came so early that it says nothing: what a client with next to no time left did not
     /// wait for was not slow yet.
-    fn was_cut_short(&self, now: Micros, attempt: &Attempt, outcome: Outcome) -> bool {
-        let patience = match attempt.kind {
-            AttemptKind::OriginCall => self.origin_window.delay_limit(SAMPLES),
-            AttemptKind::CacheRead => Some(self.outliers.late_after()),
+    fn timed_out_early(&self, now: Micros, attempt: &Attempt, outcome: Outcome) -> bool {
+        let min_wait = match attempt.kind {
+            AttemptKind::OriginCall => self.origin_window.delay_limit(MEAN_SAMPLES),
+            AttemptKind::CacheRead => Some(self.outliers.late_threshold()),
         };
-        let patience = patience.unwrap_or(self.origin_window.latency_objective());
-        outcome == Outcome::Timeout && ((now - attempt.sent_at) as f64) < patience
+        let min_wait = min_wait.unwrap_or(self.origin_window.latency_objective());
+        outcome == Outcome::Timeout && ((now - attempt.sent_at) as f64) < min_wait
     }
 
-    fn learn_of_cache_windows(
+    fn record_in_cache_windows(
         &mut self,
         now: Micros,
         attempt: &Attempt,
@@ -220,13 +224,16 @@
         let completion = Completion { conclusive, ..completion };
         self.backends[attempt.backend].window.record_completion(now, completion);
         // Over all caches one breach is one slow answer among many.
-        let limit = self.all_caches_window.delay_limit(SAMPLES).filter(|_| completion.breach.is_some());
+        let limit = self
+            .all_caches_window
+            .delay_limit(MEAN_SAMPLES)
+            .filter(|_| completion.forced_cut_floor.is_some());
         let delay = limit.map_or(completion.delay, |limit| completion.delay.max(limit as Micros));
-        let completion = Completion { delay, breach: None, ..completion };
+        let completion = Completion { delay, forced_cut_floor: None, ..completion };
         self.all_caches_window.record_completion(now, completion);
     }
 
-    fn learn_of_cache_health(
+    fn record_in_cache_health(
         &mut self,
         now: Micros,
         attempt: &Attempt,
@@ -242,8 +249,9 @@
             health.record_answered(attempt.sent_at);
         }
         // One silent connection must not have a cache passed over that has answered what was sent later.
-        let connection_silent = outcome == Outcome::Timeout && health.has_answered_since(attempt.sent_at);
-        if conclusive && !connection_silent {
+        let only_connection_stalled =
+            outcome == Outcome::Timeout && health.has_answered_since(attempt.sent_at);
+        if conclusive && !only_connection_stalled {
             let took = took.map(|took| took as f64);
             self.outliers.record(now, attempt.backend, outcome, took, &mut self.backends);
         }
--- a/src/router/backends.rs
+++ b/src/router/backends.rs
@@ -10,10 +10,10 @@
 
 /// The least time between two computations of the weights of a small fleet, in microseconds: a warming cache
 /// gains a little weight in each.
-const WEIGHT_INTERVAL: Micros = 100_000;
+const WEIGHT_UPDATE_INTERVAL: Micros = 100_000;
 /// A fleet of more servers is weighed less often in proportion: it takes the same time however many there
 /// are.
-const SERVERS_PER_INTERVAL: u64 = 256;
+const SERVERS_PER_UPDATE_INTERVAL: u64 = 256;
 /// The least size that a listed server counts with.
 const MIN_SIZE: f64 = 1e-3;
 
@@ -112,7 +112,7 @@
     origins: Vec<BackendIndex>,
     placement: PlacementTable,
     total_weight: f64,
-    weighed_at: Micros,
+    weights_updated_at: Micros,
 }
 
 impl Index<BackendIndex> for Backends {
@@ -143,7 +143,7 @@
                 backend.endpoint.state = ServerState::Gone;
             }
         }
-        let mut reusable = self.reusable(endpoints);
+        let mut reusable = self.reusable_records(endpoints);
         for endpoint in endpoints {
             match self.by_id.get(&endpoint.server) {
                 Some(&index) => self[index].update(now, endpoint, settings),
@@ -154,8 +154,8 @@
     }
 
     /// Computes the weights and the placement table anew.
-    pub(super) fn weigh(&mut self, now: Micros, settings: &Settings) {
-        self.weighed_at = now;
+    pub(super) fn update_weights(&mut self, now: Micros, settings: &Settings) {
+        self.weights_updated_at = now;
         self.total_weight = 0.0;
         for backend in &mut self.records {
             backend.weight = backend.compute_weight(now, settings);
@@ -170,8 +170,9 @@
 
     /// Whether the weights are old enough to be computed anew.
     pub(super) fn weights_are_stale(&self, now: Micros) -> bool {
-        let interval = WEIGHT_INTERVAL * (self.records.len() as u64).div_ceil(SERVERS_PER_INTERVAL);
-        now.saturating_sub(self.weighed_at) >= interval
+        let interval =
+            WEIGHT_UPDATE_INTERVAL * (self.records.len() as u64).div_ceil(SERVERS_PER_UPDATE_INTERVAL);
+        now.saturating_sub(self.weights_updated_at) >= interval
     }
 
     /// The caches for a key, best first.
@@ -215,7 +216,7 @@
 
     /// Records of servers that are gone for good: without reuse there would be one for every server that ever
     /// was.
-    fn reusable(&self, endpoints: &[Endpoint]) -> Vec<BackendIndex> {
+    fn reusable_records(&self, endpoints: &[Endpoint]) -> Vec<BackendIndex> {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unused = |backend: &Backend| {
             backend.endpoint.state == ServerState::Gone
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -2,7 +2,7 @@
 //! few.
 
 use super::backends::BackendIndex;
-use super::hot_keys::EPOCH;
+use super::hot_keys::EPOCH_LENGTH;
 use super::in_flight::InFlightRequest;
 use super::random::mix64;
 use super::slow_start::WarmingCache;
@@ -23,17 +23,17 @@
 }
 
 /// The caches that a read has been to.
-struct History {
+struct ReadHistory {
     tried: Vec<BackendIndex>,
     rejected_by: Vec<BackendIndex>,
     missed_at: Option<BackendIndex>,
 }
 
-impl History {
+impl ReadHistory {
     fn of(request: &InFlightRequest) -> Self {
         let attempts = request.attempts.iter();
         let tried = attempts.clone().filter(|a| !a.is_origin_call() && !a.retry_same_server);
-        History {
+        ReadHistory {
             tried: tried.map(|attempt| attempt.backend).collect(),
             rejected_by: attempts.filter(|a| a.rejected).map(|attempt| attempt.backend).collect(),
             missed_at: request.missed_at,
@@ -47,19 +47,19 @@
 }
 
 /// A candidate and how busy it is for its weight.
-struct LeastBusy {
+struct CacheLoad {
     load: f64,
     cache: BackendIndex,
 }
 
 /// The state of one search through the ranking of a key.
 struct Search {
-    history: History,
+    history: ReadHistory,
     /// The best-ranked cache.
     first: BackendIndex,
     /// Caches that may hold the key.
-    replicas: usize,
-    trials_allowed: bool,
+    replica_count: usize,
+    allow_trial: bool,
     /// Whether this proxy reads from one cache so seldom that its delays tell little.
     sparse: bool,
     /// Whether the origin could take some of the load.
@@ -69,22 +69,23 @@
     /// Whether one of those had all that it can take.
     overloaded: bool,
     /// Warming caches whose budget was spent.
-    denied: usize,
-    best: Option<LeastBusy>,
+    slow_start_denials: usize,
+    best: Option<CacheLoad>,
 }
 
 impl Search {
     /// Whether enough caches were considered. A key that only an overloaded cache holds moves to the next
     /// rank while the origin's window is at most half used, and is rejected otherwise: it must not take the
     /// origin along.
-    fn is_over(&self) -> bool {
-        self.considered > self.replicas
-            || self.considered == self.replicas && (self.best.is_some() || !self.origin_half_free)
+    fn is_complete(&self) -> bool {
+        self.considered > self.replica_count
+            || self.considered == self.replica_count && (self.best.is_some() || !self.origin_half_free)
     }
 
     /// The same after a cache that has rejected the read: it is as overloaded as one without a slot.
-    fn is_over_after_rejection(&self) -> bool {
-        self.considered > self.replicas || self.considered == self.replicas && !self.origin_half_free
+    fn is_complete_after_rejection(&self) -> bool {
+        self.considered > self.replica_count
+            || self.considered == self.replica_count && !self.origin_half_free
     }
 }
 
@@ -99,70 +100,72 @@
 impl Router {
     /// Chooses the cache for a read. `trials_allowed` says whether it may be a trial request to an ejected
     /// one.
-    pub(super) fn select_cache(&mut self, now: Micros, id: RequestId, trials_allowed: bool) -> Selection {
+    pub(super) fn select_cache(&mut self, now: Micros, id: RequestId, allow_trial: bool) -> Selection {
         let request = &self.in_flight[&id];
         let key = request.request.key.unwrap_or_else(|| mix64(id));
-        let history = History::of(request);
+        let history = ReadHistory::of(request);
         let ranking = self.backends.rank(key);
         let Some(&first) = ranking.first() else { return Selection::NoCache };
         self.all_caches_window.record_demand(now);
         let mut search = Search {
             history,
             first,
-            replicas: self.replicas(key, first),
-            trials_allowed,
+            replica_count: self.replica_count(key, first),
+            allow_trial,
             sparse: self.reads_are_sparse(),
             origin_half_free: self.origin_window.is_half_free(),
             considered: 0,
             overloaded: false,
-            denied: 0,
+            slow_start_denials: 0,
             best: None,
         };
         for &cache in &ranking {
-            match self.consider(now, cache, &mut search) {
+            match self.evaluate_cache(now, cache, &mut search) {
                 Step::Next => {}
                 Step::Stop => break,
                 Step::Trial => return Selection::Cache(cache),
             }
         }
-        self.conclude(now, &ranking, &search)
+        self.finish_selection(now, &ranking, &search)
     }
 
     /// Whether this proxy reads from one cache so seldom that delays of it never come together while they are
     /// news.
     pub(super) fn reads_are_sparse(&self) -> bool {
-        self.all_caches_window.demand_is_sparse(self.backends.cache_count(), EPOCH)
+        self.all_caches_window.demand_is_sparse(self.backends.cache_count(), EPOCH_LENGTH)
     }
 
-    fn replicas(&self, key: Key, first: BackendIndex) -> usize {
+    fn replica_count(&self, key: Key, first: BackendIndex) -> usize {
         let fair_share = self.backends.fair_share(first);
-        self.key_counts.replicas(key, fair_share, self.reads_are_sparse(), self.backends.cache_count())
+        self.key_counts.replica_count(key, fair_share, self.reads_are_sparse(), self.backends.cache_count())
     }
 
     /// Looks at one cache of the ranking.
-    fn consider(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
+    fn evaluate_cache(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
         if search.history.excludes(cache) {
             if search.history.rejected_by.contains(&cache) {
                 search.considered += 1;
                 search.overloaded = true;
-                if search.is_over_after_rejection() {
+                if search.is_complete_after_rejection() {
                     return Step::Stop;
                 }
             }
             return Step::Next;
         }
         if self.backends[cache].health.is_ejected() {
-            return self.consider_trial(now, cache, search);
+            return self.evaluate_trial(now, cache, search);
         }
         // Only its first warming caches are asked for a key: from budgets that all keys draw on, every cache
         // would have a little of all keys, and keep none of them long.
-        if self.is_warming_up(cache, now) && (search.denied >= search.replicas || !self.admit(now, cache)) {
-            search.denied += 1;
+        if self.is_warming_up(cache, now)
+            && (search.slow_start_denials >= search.replica_count || !self.slow_start_admits(now, cache))
+        {
+            search.slow_start_denials += 1;
             return Step::Next;
         }
         search.considered += 1;
-        self.consider_load(now, cache, search);
-        if search.is_over() {
+        self.evaluate_load(now, cache, search);
+        if search.is_complete() {
             Step::Stop
         } else {
             Step::Next
@@ -170,13 +173,13 @@
     }
 
     /// Whether a read is a trial request to an ejected cache; that must have been its first choice.
-    fn consider_trial(&mut self, now: Micros, cache: BackendIndex, search: &Search) -> Step {
+    fn evaluate_trial(&mut self, now: Micros, cache: BackendIndex, search: &Search) -> Step {
         let due = self.backends[cache].health.is_trial_due(now);
-        if !search.trials_allowed || cache != search.first || !due {
+        if !search.allow_trial || cache != search.first || !due {
             return Step::Next;
         }
         // A trial is no exception to what a warming cache can bear.
-        if self.is_warming_up(cache, now) && !self.admit(now, cache) {
+        if self.is_warming_up(cache, now) && !self.slow_start_admits(now, cache) {
             return Step::Next;
         }
         self.backends[cache].health.record_trial_sent(now);
@@ -184,32 +187,32 @@
     }
 
     /// Keeps a cache as the choice if it has a slot and is the least busy so far.
-    fn consider_load(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) {
+    fn evaluate_load(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) {
         self.backends[cache].window.record_demand(now);
         let backend = &self.backends[cache];
         // Where no proxy asks one cache twice in seconds, only the window over all caches can tell that they
         // are congested.
-        let trusted = !search.sparse
-            || backend.window.has_recent_evidence(now)
+        let has_usable_samples = !search.sparse
+            || backend.window.has_recent_samples(now)
             || self.all_caches_window.has_capacity(now, 1.0);
-        if !trusted || !backend.window.has_capacity(now, 1.0) {
+        if !has_usable_samples || !backend.window.has_capacity(now, 1.0) {
             search.overloaded = true;
             return;
         }
         let load = (f64::from(backend.outstanding) + self.random.next_unit()) / backend.weight;
         if search.best.as_ref().is_none_or(|best| load < best.load) {
-            search.best = Some(LeastBusy { load, cache });
+            search.best = Some(CacheLoad { load, cache });
         }
     }
 
-    fn conclude(&self, now: Micros, ranking: &[BackendIndex], search: &Search) -> Selection {
+    fn finish_selection(&self, now: Micros, ranking: &[BackendIndex], search: &Search) -> Selection {
         if let Some(best) = &search.best {
             return Selection::Cache(best.cache);
         }
         // The origin's window tells what it has room for. A fleet that rejected what the origin could serve
         // would be held in that state by the rejected requests that come again.
         let never_rejected = search.history.rejected_by.is_empty();
-        if search.denied > 0 || search.overloaded && never_rejected && search.origin_half_free {
+        if search.slow_start_denials > 0 || search.overloaded && never_rejected && search.origin_half_free {
             return Selection::NoCache;
         }
         if search.overloaded {
@@ -227,7 +230,7 @@
     }
 
     /// Whether the slow-start budget of a warming cache admits one more read.
-    fn admit(&mut self, now: Micros, cache: BackendIndex) -> bool {
+    fn slow_start_admits(&mut self, now: Micros, cache: BackendIndex) -> bool {
         let total_weight = self.backends.total_weight().max(MIN_TOTAL_WEIGHT);
         let read_rate = self.all_caches_window.demand_rate();
         let backend = &mut self.backends[cache];
@@ -235,7 +238,7 @@
             weight_share: backend.weight / total_weight,
             hit_rate: self.hit_rate.per_second(),
             answer_time: backend.health.latency(),
-            slowed_down_at: backend.window.last_cut_at(),
+            window_cut_at: backend.window.last_cut_at(),
             read_rate,
         };
         backend.slow_start.admit(now, &warming, &self.settings, self.random.next_unit())
--- a/src/router/congestion_window.rs
+++ b/src/router/congestion_window.rs
@@ -21,7 +21,7 @@
 
 /// k of Equation 2, in samples: enough to average out single slow attempts, few enough to see congestion
 /// early.
-pub(super) const SAMPLES: usize = 8;
+pub(super) const MEAN_SAMPLES: usize = 8;
 /// A mean of fewer samples than this decides nothing: right after a cut there is only noise.
 pub(super) const MIN_SAMPLES: usize = 4;
 /// alpha as a share of `CCT_estimation`: our reading of the paper's 1/2.
@@ -33,20 +33,20 @@
 /// still have to go on to the origin.
 const ALPHA_SLACK_SHARE: f64 = 0.5;
 /// The first window, in attempts: doubling from one would take the first three round trips of a start.
-const FIRST_WINDOW: f64 = 8.0;
+const INITIAL_WINDOW: f64 = 8.0;
 /// The first threshold, in attempts: slow start may double the first window once before it turns careful.
-const FIRST_THRESHOLD: f64 = 16.0;
+const INITIAL_THRESHOLD: f64 = 16.0;
 /// The least window, in attempts: one in so many normal delays.
 pub(super) const MIN_WINDOW: f64 = 1.0 / 64.0;
 /// The least window after a breach by refused or reset connections, in attempts: an attempt at a server that
 /// is down congests nothing.
 pub(super) const MIN_WINDOW_WHILE_DOWN: f64 = 1.0 / 4.0;
 /// Weight of the newest gap between two demands for capacity.
-const GAP_GAIN: f64 = 0.125;
+const DEMAND_GAP_GAIN: f64 = 0.125;
 /// Age in microseconds at which a delay says nothing any more: the state of a server changes within seconds.
-const EVIDENCE_LIFETIME: Micros = 4_000_000;
+const MAX_SAMPLE_AGE: Micros = 4_000_000;
 /// The least Retry-After in microseconds: none at all would tell the client nothing.
-const MIN_RETRY_AFTER: f64 = 1_000.0;
+const MIN_RETRY_AFTER_US: f64 = 1_000.0;
 /// The latency objective in microseconds where there are no classes to state one.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 1_000_000;
 /// Microseconds in a second.
@@ -77,7 +77,7 @@
     /// How long the server took.
     pub(super) delay: Micros,
     /// Set if the outcome alone is a breach: the least window that the cut may leave.
-    pub(super) breach: Option<f64>,
+    pub(super) forced_cut_floor: Option<f64>,
     /// Whether the delay and the breach say anything about the server.
     pub(super) conclusive: bool,
 }
@@ -103,7 +103,7 @@
     /// When capacity was last asked for, and the mean time between two such demands.
     last_demand_at: Micros,
     mean_demand_gap: f64,
-    /// The share of the latest attempts, about [`SAMPLES`] of them, that failed.
+    /// The share of the latest attempts, about [`MEAN_SAMPLES`] of them, that failed.
     failure_share: f64,
 }
 
@@ -113,8 +113,8 @@
         let latency_objective = objectives.min().unwrap_or(DEFAULT_LATENCY_OBJECTIVE) as f64;
         CongestionWindow {
             target,
-            size: FIRST_WINDOW,
-            threshold: if target == Target::AllCaches { f64::INFINITY } else { FIRST_THRESHOLD },
+            size: INITIAL_WINDOW,
+            threshold: if target == Target::AllCaches { f64::INFINITY } else { INITIAL_THRESHOLD },
             in_flight: 0,
             max_size: f64::from(settings.max_in_flight.max(1)),
             latency_objective,
@@ -176,7 +176,8 @@
     /// Notes that capacity is asked for, whether there is any or not.
     pub(super) fn record_demand(&mut self, now: Micros) {
         if self.last_demand_at > 0 {
-            self.mean_demand_gap += GAP_GAIN * ((now - self.last_demand_at) as f64 - self.mean_demand_gap);
+            self.mean_demand_gap +=
+                DEMAND_GAP_GAIN * ((now - self.last_demand_at) as f64 - self.mean_demand_gap);
         }
         self.last_demand_at = now;
     }
@@ -204,12 +205,12 @@
 
     /// Whether enough delays are so rare that they never come together while they still say something.
     fn is_sparse(&self) -> bool {
-        self.demand_is_sparse(1, EVIDENCE_LIFETIME)
+        self.demand_is_sparse(1, MAX_SAMPLE_AGE)
     }
 
     /// Whether its own delays are many and recent enough to go by.
-    pub(super) fn has_recent_evidence(&self, now: Micros) -> bool {
-        self.reported_at.len() >= MIN_SAMPLES && now <= self.reported_at[0] + EVIDENCE_LIFETIME
+    pub(super) fn has_recent_samples(&self, now: Micros) -> bool {
+        self.reported_at.len() >= MIN_SAMPLES && now <= self.reported_at[0] + MAX_SAMPLE_AGE
     }
 
     /// `CCT_estimation + alpha`: the delay at which a mean of so many samples is a breach. `alpha` is half of
@@ -228,7 +229,7 @@
     /// most of the latest attempts failed: single failures only tell of connections that were closed as a
     /// request went out.
     pub(super) fn record_failure(&mut self, failed: bool) -> bool {
-        self.failure_share += (f64::from(u8::from(failed)) - self.failure_share) / SAMPLES as f64;
+        self.failure_share += (f64::from(u8::from(failed)) - self.failure_share) / MEAN_SAMPLES as f64;
         failed && (self.failure_share > 0.5 || self.is_sparse())
     }
 
@@ -241,11 +242,11 @@
         if completion.sent_at < self.last_cut_at || !completion.conclusive {
             return;
         }
-        if let Some(least) = completion.breach {
-            return self.cut(now, least);
+        if let Some(floor) = completion.forced_cut_floor {
+            return self.cut(now, floor);
         }
         if in_use {
-            self.normal_delay.mark_congestible();
+            self.normal_delay.mark_in_use();
         }
         let delay = completion.delay as f64;
         self.add_sample(now, delay);
@@ -264,7 +265,7 @@
     pub(super) fn retry_after(&self) -> Micros {
         let excess = f64::from(self.in_flight) + 1.0 - self.size;
         let delay = self.normal_delay().unwrap_or(self.latency_objective);
-        (delay * excess.max(1.0) / self.size).max(MIN_RETRY_AFTER) as Micros
+        (delay * excess.max(1.0) / self.size).max(MIN_RETRY_AFTER_US) as Micros
     }
 
     /// Whether all proxies together congest the target, so that W may have to fall below one.
@@ -282,8 +283,8 @@
         // and it would cut on chance. Old samples go, or a proxy with little traffic would go by congestion
         // long over.
         let all_caches = self.target == Target::AllCaches;
-        let kept = if all_caches { SAMPLES.max(self.size as usize) } else { SAMPLES };
-        while self.samples.len() > kept || self.samples[0].at + EVIDENCE_LIFETIME < now {
+        let max_samples = if all_caches { MEAN_SAMPLES.max(self.size as usize) } else { MEAN_SAMPLES };
+        while self.samples.len() > max_samples || self.samples[0].at + MAX_SAMPLE_AGE < now {
             self.samples.pop_front();
         }
     }
@@ -299,7 +300,7 @@
         *delays.select_nth_unstable_by(count / 2, f64::total_cmp).1
     }
 
-    fn cut(&mut self, now: Micros, least: f64) {
+    fn cut(&mut self, now: Micros, floor: f64) {
         self.threshold = (self.size / 2.0).max(1.0);
         // Hundreds of proxies may congest a server with one attempt each: where one is more than was used, or
         // where the cut before this one did not help, half of what was used remains.
@@ -309,17 +310,17 @@
             1.0
         };
         let half = self.size.min(used) / 2.0;
-        let least = half.max(least * used).max(MIN_WINDOW);
+        let floor = half.max(floor * used).max(MIN_WINDOW);
         self.size = if !self.is_shared() {
             self.threshold
         } else if half >= 0.5 && self.size > 1.0 {
             1.0
         } else {
-            least
+            floor
         };
         self.last_cut_at = now;
         self.samples.clear();
-        self.normal_delay.mark_congestible();
+        self.normal_delay.mark_in_use();
     }
 
     /// Above one the window grows only while it is at least half used, or quiet times would grow it without
--- a/src/router/discovery_schedule.rs
+++ b/src/router/discovery_schedule.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Discovery, Micros};
 
 /// The first pause before discovery is called again after a failure, in microseconds.
-const FIRST_BACKOFF: Micros = 250_000;
+const INITIAL_BACKOFF: Micros = 250_000;
 /// The longest such pause, in microseconds. With half as much again as jitter and the call itself it is over
 /// within the 6 s in which a change counts as delivered.
 const MAX_BACKOFF: Micros = 2_000_000;
@@ -18,12 +18,12 @@
 
 impl DiscoverySchedule {
     pub(super) fn new(discovery: Discovery) -> Self {
-        DiscoverySchedule { discovery, watching: false, backoff: FIRST_BACKOFF }
+        DiscoverySchedule { discovery, watching: false, backoff: INITIAL_BACKOFF }
     }
 
     /// A list or a change has arrived; whether a watch is to be opened now.
     pub(super) fn record_update(&mut self) -> bool {
-        self.backoff = FIRST_BACKOFF;
+        self.backoff = INITIAL_BACKOFF;
         let open = !self.watching && self.discovery != Discovery::Pushed;
         self.watching |= open;
         open
@@ -35,8 +35,8 @@
     pub(super) fn record_failure(&mut self, random: &mut SplitMix64) -> Option<Micros> {
         let Discovery::OnRequest { poll_interval } = self.discovery else { return None };
         let pause = (self.backoff as f64 * (0.5 + random.next_unit())) as Micros;
-        let most = (poll_interval / 4).clamp(FIRST_BACKOFF, MAX_BACKOFF);
-        self.backoff = (self.backoff * 2).min(most);
+        let max_backoff = (poll_interval / 4).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        self.backoff = (self.backoff * 2).min(max_backoff);
         Some(pause)
     }
 }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -5,7 +5,7 @@
 use super::cache_selection::Selection;
 use super::in_flight::{Attempt, AttemptKind};
 use super::request_coalescing::FetchKey;
-use super::retries::Permission;
+use super::retries::AttemptPermission;
 use super::timer_token::RouterTimer;
 use super::Router;
 use crate::interface::{Action, Micros, RequestId};
@@ -16,7 +16,7 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        trials_allowed: bool,
+        allow_trial: bool,
         actions: &mut Vec<Action>,
     ) {
         let request = &self.in_flight[&id];
@@ -25,7 +25,7 @@
         if request.attempts_left(self.settings.max_attempts) <= 1 && self.backends.origin().is_some() {
             return self.dispatch_origin_call(now, id, actions);
         }
-        let cache = match self.select_cache(now, id, trials_allowed) {
+        let cache = match self.select_cache(now, id, allow_trial) {
             Selection::Cache(cache) => cache,
             Selection::Overloaded => return self.answer_unless_outstanding(now, id, actions),
             Selection::NoCache => return self.dispatch_origin_call(now, id, actions),
@@ -36,8 +36,8 @@
         if !self.start_attempt(now, id, cache, AttemptKind::CacheRead, actions) {
             return self.answer_unless_outstanding(now, id, actions);
         }
-        let usual = if self.reads_are_sparse() { 0.0 } else { self.outliers.usual_read_latency() };
-        let after = self.outliers.late_after().max(usual) as Micros;
+        let high_latency = if self.reads_are_sparse() { 0.0 } else { self.outliers.high_read_latency() };
+        let after = self.outliers.late_threshold().max(high_latency) as Micros;
         actions.push(Action::Timer { after, token: RouterTimer::SlowRead(id).token() });
     }
 
@@ -94,7 +94,7 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(request) = self.in_flight.get_mut(&id) else { return false };
-        let permission = Permission::of(request, &self.settings, &self.backends, now);
+        let permission = AttemptPermission::of(request, &self.settings, &self.backends, now);
         let backend = &mut self.backends[target];
         if !permission.allows(&backend.endpoint) || !backend.is_serving() {
             return false;
@@ -143,7 +143,7 @@
     /// failure. On its own for a host that stops, which says nothing of contention.
     pub(super) fn send_final_answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get(&id).filter(|request| request.awaits_answer()) else { return };
-        if Permission::of(request, &self.settings, &self.backends, now).may_reject {
+        if AttemptPermission::of(request, &self.settings, &self.backends, now).may_reject {
             let retry_after = self.origin_window.retry_after().min(self.settings.max_retry_after);
             actions.push(Action::Reject { id, retry_after });
         } else {
@@ -161,15 +161,16 @@
         next_token: Option<Micros>,
         actions: &mut Vec<Action>,
     ) {
-        let longest = self.settings.max_retry_after;
-        let retry_after = next_token.unwrap_or(longest).max(self.origin_window.retry_after()).min(longest);
+        let max_retry_after = self.settings.max_retry_after;
+        let retry_after =
+            next_token.unwrap_or(max_retry_after).max(self.origin_window.retry_after()).min(max_retry_after);
         actions.push(Action::Reject { id, retry_after });
     }
 
     /// The request is over: cancels what is outstanding for it.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
-        request.over = true;
+        request.done = true;
         for (n, attempt) in request.attempts.iter().enumerate() {
             // A call goes on at the origin whatever is cancelled, and its end tells the window more than a
             // cancellation would.
@@ -181,7 +182,7 @@
 
     /// Forgets a request that is over and has nothing outstanding.
     pub(super) fn release_if_done(&mut self, id: RequestId) {
-        if !self.in_flight.get(&id).is_some_and(|request| request.over && !request.has_outstanding()) {
+        if !self.in_flight.get(&id).is_some_and(|request| request.done && !request.has_outstanding()) {
             return;
         }
         for attempt in self.in_flight.remove(&id).into_iter().flat_map(|request| request.attempts) {
@@ -204,7 +205,7 @@
         actions: &mut Vec<Action>,
     ) {
         for id in self.coalesced_fetches.finish(fetch) {
-            let Some(request) = self.in_flight.get(&id).filter(|request| !request.over) else { continue };
+            let Some(request) = self.in_flight.get(&id).filter(|request| !request.done) else { continue };
             // What has not missed yet has to: the origin's answer is kept only where its request missed.
             if stored || request.missed_at.is_none() {
                 self.dispatch_read(now, id, false, actions);
--- a/src/router/in_flight.rs
+++ b/src/router/in_flight.rs
@@ -82,7 +82,7 @@
     /// In the order of sending.
     pub(super) attempts: Vec<Attempt>,
     /// The final answer has been given, or the client has left.
-    pub(super) over: bool,
+    pub(super) done: bool,
     /// A reply is being streamed to the client.
     pub(super) streaming: bool,
     /// The cache at which the latest miss was seen.
@@ -96,7 +96,7 @@
         InFlightRequest {
             request,
             attempts: Vec::new(),
-            over: false,
+            done: false,
             streaming: false,
             missed_at: None,
             quota,
@@ -105,7 +105,7 @@
 
     /// Whether it waits for a final answer that has not begun.
     pub(super) fn awaits_answer(&self) -> bool {
-        !self.over && !self.streaming
+        !self.done && !self.streaming
     }
 
     pub(super) fn has_outstanding(&self) -> bool {
--- a/src/router/normal_delay.rs
+++ b/src/router/normal_delay.rs
@@ -28,7 +28,7 @@
     deviation: f64,
     interval: Interval,
     /// Whether the window was less than half used at each sample of the interval.
-    uncongested: bool,
+    underused: bool,
     /// The first estimate is at most this: the latency objective.
     first_estimate_limit: f64,
 }
@@ -39,7 +39,7 @@
             estimate: None,
             deviation: 0.0,
             interval: Interval::default(),
-            uncongested: true,
+            underused: true,
             first_estimate_limit,
         }
     }
@@ -55,8 +55,8 @@
     }
 
     /// Tells that the window was in use, or was cut, within the current interval.
-    pub(super) fn mark_congestible(&mut self) {
-        self.uncongested = false;
+    pub(super) fn mark_in_use(&mut self) {
+        self.underused = false;
     }
 
     /// Takes one delay in.
@@ -82,12 +82,12 @@
             Some(estimate) => {
                 // With one gain for both, lasting congestion would raise the estimate cut by cut until no
                 // delay counted as congestion any more.
-                let gain = if mean < estimate || self.uncongested { FAST_GAIN } else { SLOW_GAIN };
+                let gain = if mean < estimate || self.underused { FAST_GAIN } else { SLOW_GAIN };
                 self.estimate = Some(estimate + gain * (mean - estimate));
                 self.deviation += gain * (deviation - self.deviation);
             }
         }
         self.interval = Interval::default();
-        self.uncongested = true;
+        self.underused = true;
     }
 }
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -12,9 +12,9 @@
 /// and the rest is as good as any.
 const ORDERED_RANKS: usize = 16;
 /// Candidates that are collected before the worst of them are dropped.
-const CANDIDATES: usize = 4 * ORDERED_RANKS;
+const MAX_CANDIDATES: usize = 4 * ORDERED_RANKS;
 /// Candidates that are kept then.
-const KEPT_CANDIDATES: usize = 2 * ORDERED_RANKS;
+const RETAINED_CANDIDATES: usize = 2 * ORDERED_RANKS;
 
 /// One cache in service.
 struct Placement {
@@ -73,17 +73,17 @@
 
     /// The caches that may be among the best for a key, in no order.
     fn candidates(&self, key: Key) -> Vec<Candidate> {
-        let (mut candidates, mut least_score) = (Vec::with_capacity(CANDIDATES), 0.0);
+        let (mut candidates, mut min_score) = (Vec::with_capacity(MAX_CANDIDATES), 0.0);
         for placement in &self.placements {
-            let u = draw(key, placement.hash);
+            let u = unit_hash(key, placement.hash);
             // Nearly all of a large fleet scores too low, and needs no logarithm to tell: -ln(u) >= 1 - u.
-            if placement.weight > least_score * (1.0 - u) {
+            if placement.weight > min_score * (1.0 - u) {
                 candidates.push(Candidate { score: placement.weight / -u.ln(), backend: placement.backend });
             }
-            if candidates.len() == CANDIDATES {
-                let nth = candidates.select_nth_unstable_by(KEPT_CANDIDATES - 1, Candidate::best_first);
-                least_score = nth.1.score;
-                candidates.truncate(KEPT_CANDIDATES);
+            if candidates.len() == MAX_CANDIDATES {
+                let nth = candidates.select_nth_unstable_by(RETAINED_CANDIDATES - 1, Candidate::best_first);
+                min_score = nth.1.score;
+                candidates.truncate(RETAINED_CANDIDATES);
             }
         }
         candidates
@@ -91,6 +91,6 @@
 }
 
 /// What a key draws at a cache, in (0, 1).
-fn draw(key: Key, hash: u64) -> f64 {
+fn unit_hash(key: Key, hash: u64) -> f64 {
     ((mix64(key ^ hash) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -31,17 +31,17 @@
 }
 
 /// What the rules leave open for a request.
-pub(super) struct Permission {
+pub(super) struct AttemptPermission {
     /// Whether a further attempt may be sent, to a server of the group.
     may_send: bool,
-    group: DedupGroup,
+    dedup_group: DedupGroup,
     /// Whether "rejected, a retry is harmless" would be a true final answer.
     pub(super) may_reject: bool,
     /// Until when a further attempt may begin.
     pub(super) begin_by: Micros,
 }
 
-impl Permission {
+impl AttemptPermission {
     /// What may be sent or answered next: the one place of these rules.
     pub(super) fn of(
         request: &InFlightRequest,
@@ -49,28 +49,31 @@
         backends: &Backends,
         now: Micros,
     ) -> Self {
-        let mut permission = Permission {
+        let mut permission = AttemptPermission {
             may_send: true,
-            group: DedupGroup::All,
+            dedup_group: DedupGroup::All,
             may_reject: true,
             begin_by: request.request.deadline,
         };
         permission.restrict_by_effect(request, settings, backends);
-        let spent = request.attempts_left(settings.max_attempts) == 0;
-        let hedges = request.has_outstanding() && !settings.hedging;
-        permission.may_send &= !(spent || hedges || !request.awaits_answer() || now >= permission.begin_by);
+        let attempts_exhausted = request.attempts_left(settings.max_attempts) == 0;
+        let hedge_forbidden = request.has_outstanding() && !settings.hedging;
+        permission.may_send &= !(attempts_exhausted
+            || hedge_forbidden
+            || !request.awaits_answer()
+            || now >= permission.begin_by);
         permission
     }
 
     /// Whether a further attempt may be sent to this server.
     pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
-        self.may_send && self.group.contains(endpoint)
+        self.may_send && self.dedup_group.contains(endpoint)
     }
 
     /// The first attempt that may have run decides. A class that the settings do not know is never repeated.
     fn restrict_by_effect(&mut self, request: &InFlightRequest, settings: &Settings, backends: &Backends) {
         let may_have_run = |state| state != AttemptState::NeverRan;
-        let Some(first) = request.attempts.iter().find(|attempt| may_have_run(attempt.state)) else { return };
+        let Some(risky) = request.attempts.iter().find(|attempt| may_have_run(attempt.state)) else { return };
         match settings.class_of(&request.request).map_or(Effect::AtMostOnce, |class| class.effect) {
             Effect::Idempotent => {}
             Effect::AtMostOnce => {
@@ -78,8 +81,8 @@
                 self.may_reject = false;
             }
             Effect::Deduplicated { scope, window } => {
-                self.group = DedupGroup::of(scope, &backends[first.backend].endpoint);
-                self.begin_by = self.begin_by.min(first.sent_at + window);
+                self.dedup_group = DedupGroup::of(scope, &backends[risky.backend].endpoint);
+                self.begin_by = self.begin_by.min(risky.sent_at + window);
                 self.may_reject = scope == Scope::All;
             }
         }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -10,11 +10,11 @@
 
 /// A warming cache gets this part of what would push it over, beside its weight's share of all hits: chance
 /// may use up the rest.
-const OVERLOAD_MARGIN: f64 = 2.5;
+const OVERLOAD_SAFETY_DIVISOR: f64 = 2.5;
 /// The least time in microseconds over which the rate of hits is measured.
 const HIT_RATE_INTERVAL: Micros = 1_000_000;
 /// Microseconds in a second.
-const SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The share of its full capacity that a server has: from `initial_capacity_share` up to 1 over `warmup`.
 pub(super) fn capacity_share(settings: &Settings, started_at: Micros, now: Micros) -> f64 {
@@ -48,7 +48,7 @@
         if now.saturating_sub(self.measured_at) < HIT_RATE_INTERVAL {
             return;
         }
-        let seconds = (now - self.measured_at) as f64 / SECOND;
+        let seconds = (now - self.measured_at) as f64 / MICROS_PER_SECOND;
         let rate = f64::from(self.hits) / seconds;
         self.hits = 0;
         self.per_second = if self.per_second == 0.0 { rate } else { 0.5 * (self.per_second + rate) };
@@ -69,7 +69,7 @@
     /// The mean time that the cache takes over an answer, in microseconds; 0 if it has answered nothing.
     pub(super) answer_time: f64,
     /// When the cache last slowed down.
-    pub(super) slowed_down_at: Micros,
+    pub(super) window_cut_at: Micros,
     /// Reads a second that this proxy is asked for, over all caches; 0 until that is known.
     pub(super) read_rate: f64,
 }
@@ -79,12 +79,12 @@
     /// Their number, decaying over the time by which an overload is judged.
     demand: f64,
     demand_at: Micros,
-    counted_since: Micros,
+    counting_since: Micros,
 }
 
 impl SlowStartBudget {
     pub(super) fn new(now: Micros) -> Self {
-        SlowStartBudget { demand: 0.0, demand_at: now, counted_since: now }
+        SlowStartBudget { demand: 0.0, demand_at: now, counting_since: now }
     }
 
     /// Whether one more read may go to the cache; `random` is uniform in [0, 1).
@@ -95,18 +95,19 @@
         settings: &Settings,
         random: f64,
     ) -> bool {
-        let window = settings.overload_window.max(1) as f64 / SECOND;
+        let window = settings.overload_window.max(1) as f64 / MICROS_PER_SECOND;
         let allowed = allowed_rate(now, cache, settings) * window;
         // This read is not counted, so as not to bias it. In the first window the budget is the part of it
         // gone by: else a fleet that starts without any history would let all reads in.
-        let demand = self.demand * (-((now - self.demand_at) as f64 / SECOND) / window).exp();
-        let counted = 1.0 - (-((now - self.counted_since) as f64 / SECOND) / window).exp();
+        let demand = self.demand * (-((now - self.demand_at) as f64 / MICROS_PER_SECOND) / window).exp();
+        let window_elapsed_share =
+            1.0 - (-((now - self.counting_since) as f64 / MICROS_PER_SECOND) / window).exp();
         self.demand = demand + 1.0;
         self.demand_at = now;
         // A proxy that reads from one cache once in many windows counts no demand there, and hundreds of them would
         // each admit every read: the cache's share of all reads of this proxy bounds its demand from below.
         let expected = cache.weight_share * cache.read_rate * window;
-        random * demand.max(expected) < allowed * counted
+        random * demand.max(expected) < allowed * window_elapsed_share
     }
 }
 
@@ -114,9 +115,9 @@
 /// from all proxies together in the time that it takes over one: without that, caches would stay cold and
 /// empty where few are left whose hits tell what a cache bears.
 fn allowed_rate(now: Micros, cache: &WarmingCache, settings: &Settings) -> f64 {
-    let headroom = settings.overload_multiple / OVERLOAD_MARGIN;
-    let time = cache.answer_time * f64::from(settings.proxies);
-    let steady = time > 0.0 && now >= cache.slowed_down_at + settings.overload_window;
-    let one_at_a_time = if steady { SECOND / time } else { 0.0 };
+    let headroom = settings.overload_multiple / OVERLOAD_SAFETY_DIVISOR;
+    let fleet_answer_time = cache.answer_time * f64::from(settings.proxies);
+    let bears_load = fleet_answer_time > 0.0 && now >= cache.window_cut_at + settings.overload_window;
+    let one_at_a_time = if bears_load { MICROS_PER_SECOND / fleet_answer_time } else { 0.0 };
     (headroom * cache.hit_rate * cache.weight_share).max(one_at_a_time)
 }
--- a/src/router/tenant_quotas.rs
+++ b/src/router/tenant_quotas.rs
@@ -9,12 +9,12 @@
 
 /// How many seconds of its quota a tenant may save up: bursts of clients that keep to it on average are
 /// within quota.
-const BURST_S: f64 = 2.0;
+const BURST_SECONDS: f64 = 2.0;
 /// The least depth of a bucket, in tokens: a small tenant's few requests come in clumps too.
-const MIN_BURST: f64 = 4.0;
+const MIN_BURST_TOKENS: f64 = 4.0;
 /// The span over which a tenant's request rate is averaged, in seconds: long beside its bursts, short beside
 /// a shift of traffic between proxies.
-const RATE_SPAN_S: f64 = 5.0;
+const RATE_AVERAGING_SECONDS: f64 = 5.0;
 /// How often this proxy's part of the traffic is estimated anew: a request in between costs no pass over
 /// the tenants.
 const TRAFFIC_RATIO_INTERVAL: Micros = 200_000;
@@ -25,12 +25,12 @@
 /// within a few such losses.
 const DECREASE_FACTOR: f64 = 0.5;
 /// What a served request within quota adds to the admission probability: from 0 it takes 200 to admit all.
-const INCREASE: f64 = 0.005;
+const INCREASE_PER_SUCCESS: f64 = 0.005;
 /// From so many requests a second at one proxy on, a quota limits nothing: no proxy takes in as many, and
 /// sums over the tenants stay far from overflow.
-const UNLIMITED_PER_S: f64 = 1e9;
+const UNLIMITED_RATE_PER_S: f64 = 1e9;
 /// Microseconds in a second.
-const MICROS_PER_S: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// How a request stands to its tenant's quota.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -62,7 +62,7 @@
 }
 
 fn seconds_between(earlier: Micros, later: Micros) -> f64 {
-    later.saturating_sub(earlier) as f64 / MICROS_PER_S
+    later.saturating_sub(earlier) as f64 / MICROS_PER_SECOND
 }
 
 /// The tokens that a tenant has at this proxy.
@@ -80,7 +80,7 @@
     /// The most tokens that are saved up at this rate; without a rate there are none at all.
     fn depth(per_s: f64) -> f64 {
         if per_s > 0.0 {
-            (per_s * BURST_S).max(MIN_BURST)
+            (per_s * BURST_SECONDS).max(MIN_BURST_TOKENS)
         } else {
             0.0
         }
@@ -112,13 +112,13 @@
     }
 
     fn record(&mut self, now: Micros) {
-        self.per_s = self.at(now) + 1.0 / RATE_SPAN_S;
+        self.per_s = self.at(now) + 1.0 / RATE_AVERAGING_SECONDS;
         self.updated_at = self.updated_at.max(now);
     }
 
     /// The rate, if none has come since the last one.
     fn at(&self, now: Micros) -> f64 {
-        self.per_s * (-seconds_between(self.updated_at, now) / RATE_SPAN_S).exp()
+        self.per_s * (-seconds_between(self.updated_at, now) / RATE_AVERAGING_SECONDS).exp()
     }
 }
 
@@ -140,11 +140,11 @@
     }
 
     fn is_unlimited(&self) -> bool {
-        self.prior_per_s >= UNLIMITED_PER_S
+        self.prior_per_s >= UNLIMITED_RATE_PER_S
     }
 
     /// Whether its use of the quota tells anything of this proxy's part of the traffic.
-    fn is_evidence(&self) -> bool {
+    fn has_bounded_quota(&self) -> bool {
         self.prior_per_s > 0.0 && !self.is_unlimited()
     }
 
@@ -161,12 +161,12 @@
     /// The time in which one token comes; `None` if none ever does.
     fn token_interval(&self, traffic_ratio: f64) -> Option<Micros> {
         let per_s = self.prior_per_s * traffic_ratio;
-        (per_s > 0.0).then(|| (MICROS_PER_S / per_s) as Micros)
+        (per_s > 0.0).then(|| (MICROS_PER_SECOND / per_s) as Micros)
     }
 }
 
 /// One tenant's observed rate over its prior, and the weight of that.
-struct QuotaUse {
+struct QuotaUsage {
     ratio: f64,
     weight: f64,
 }
@@ -178,37 +178,36 @@
     value: f64,
     estimated_at: Micros,
     /// Kept between estimates so that none allocates.
-    uses: Vec<QuotaUse>,
+    usages: Vec<QuotaUsage>,
 }
 
 impl TrafficRatio {
     fn new(tenants: usize, now: Micros) -> Self {
-        TrafficRatio { value: MIN_TRAFFIC_RATIO, estimated_at: now, uses: Vec::with_capacity(tenants) }
+        TrafficRatio { value: MIN_TRAFFIC_RATIO, estimated_at: now, usages: Vec::with_capacity(tenants) }
     }
 
     fn update_if_due(&mut self, now: Micros, tenants: &[TenantState]) {
         if now.saturating_sub(self.estimated_at) > TRAFFIC_RATIO_INTERVAL {
             self.estimated_at = now;
-            self.value = self.median_use(now, tenants).max(MIN_TRAFFIC_RATIO);
+            self.value = self.median_usage(now, tenants).max(MIN_TRAFFIC_RATIO);
         }
     }
 
     /// The median over the tenants, weighted by quota, of the observed rate over the prior.
-    fn median_use(&mut self, now: Micros, tenants: &[TenantState]) -> f64 {
-        let evidence = tenants.iter().filter(|tenant| tenant.is_evidence()).map(|tenant| QuotaUse {
-            ratio: tenant.rate.at(now) / tenant.prior_per_s,
-            weight: tenant.prior_per_s,
+    fn median_usage(&mut self, now: Micros, tenants: &[TenantState]) -> f64 {
+        let bounded_tenants = tenants.iter().filter(|tenant| tenant.has_bounded_quota()).map(|tenant| {
+            QuotaUsage { ratio: tenant.rate.at(now) / tenant.prior_per_s, weight: tenant.prior_per_s }
         });
-        self.uses.clear();
-        self.uses.extend(evidence);
-        self.uses.sort_unstable_by(|a, b| a.ratio.total_cmp(&b.ratio));
-        let half = self.uses.iter().map(|quota_use| quota_use.weight).sum::<f64>() / 2.0;
+        self.usages.clear();
+        self.usages.extend(bounded_tenants);
+        self.usages.sort_unstable_by(|a, b| a.ratio.total_cmp(&b.ratio));
+        let half = self.usages.iter().map(|usage| usage.weight).sum::<f64>() / 2.0;
         let mut weight_up_to = 0.0;
-        let median = self.uses.iter().find(|quota_use| {
-            weight_up_to += quota_use.weight;
+        let median = self.usages.iter().find(|usage| {
+            weight_up_to += usage.weight;
             weight_up_to >= half
         });
-        median.map_or(MIN_TRAFFIC_RATIO, |quota_use| quota_use.ratio)
+        median.map_or(MIN_TRAFFIC_RATIO, |usage| usage.ratio)
     }
 }
 
@@ -224,7 +223,7 @@
     }
 
     fn record_success(&mut self) {
-        self.probability = (self.probability + INCREASE).min(1.0);
+        self.probability = (self.probability + INCREASE_PER_SUCCESS).min(1.0);
     }
 
     /// Draws no number while all is admitted.
