--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -202,7 +202,7 @@
             let id = instance.request_id(&ended.ticket)?;
             instance.attempt_ended(id, ended.last);
             let took = Some(micros(ended.took));
-            Some(Event::AttemptEnded { id, attempt: ended.attempt, outcome, took, last: ended.last })
+            Some(Event::AttemptEnded { id, attempt: ended.attempt, outcome, took, request_done: ended.last })
         })
     }
 
--- a/lab/src/baselines.rs
+++ b/lab/src/baselines.rs
@@ -300,7 +300,7 @@
                 actions.push(Action::Timer { after: due.saturating_sub(now), token: id });
                 self.go_on(now, id, oracle, actions);
             }
-            Event::AttemptEnded { id, attempt, outcome, last, .. } => {
+            Event::AttemptEnded { id, attempt, outcome, request_done: last, .. } => {
                 self.ended(id, attempt, outcome);
                 if last {
                     self.held.remove(&id);
--- a/lab/src/broken.rs
+++ b/lab/src/broken.rs
@@ -131,7 +131,7 @@
     fn handle(&mut self, now: Micros, event: Event<'_>, _: &dyn OracleView, actions: &mut Vec<Action>) {
         self.note(&event);
         let ended = match event {
-            Event::AttemptEnded { id, outcome, last, .. } if !last => Some((id, outcome)),
+            Event::AttemptEnded { id, outcome, request_done: last, .. } if !last => Some((id, outcome)),
             _ => None,
         };
         self.brain.handle(now, event, actions);
--- a/lab/src/day/proxies.rs
+++ b/lab/src/day/proxies.rs
@@ -35,7 +35,7 @@
         Event::DiscoveryError => (12, 0, 0),
         Event::Arrived(request) => (13, request.id, request.key.unwrap_or(0)),
         Event::ReplyStarted { id, attempt, .. } => (14, *id, u64::from(*attempt)),
-        Event::AttemptEnded { id, attempt, outcome, last, .. } => {
+        Event::AttemptEnded { id, attempt, outcome, request_done: last, .. } => {
             (15, *id, u64::from(*attempt) << 8 | (*outcome as u64) << 1 | u64::from(*last))
         }
         Event::ClientLeft(id) => (16, *id, 0),
@@ -73,7 +73,7 @@
             }
             Event::DiscoveryError => (None, "its call to the registry failed, or its watch ended".to_owned()),
             Event::Arrived(r) => (Some(r.id), format!("takes it, key {}", r.key.unwrap_or(0))),
-            Event::AttemptEnded { id, attempt, outcome, last, .. } => (
+            Event::AttemptEnded { id, attempt, outcome, request_done: last, .. } => (
                 Some(*id),
                 format!("attempt {attempt} ended: {outcome:?}{}", if *last { ", over" } else { "" }),
             ),
@@ -379,7 +379,7 @@
         }
         let last = !t.open;
         let took = (!fresh).then_some(self.now - sent);
-        self.feed(proxy, Event::AttemptEnded { id, attempt: n, outcome, took, last });
+        self.feed(proxy, Event::AttemptEnded { id, attempt: n, outcome, took, request_done: last });
         self.drop_attempt(attempt);
         self.drop_try(id);
     }
--- a/limits/benches/events.rs
+++ b/limits/benches/events.rs
@@ -77,8 +77,13 @@
     };
     stack.handle(*now, Event::Arrived(request), &mut actions);
     for (attempt, &(outcome, took)) in (0..).zip(ends) {
-        let ended =
-            Event::AttemptEnded { id, attempt, outcome, took: Some(took), last: outcome == Outcome::Ok };
+        let ended = Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            took: Some(took),
+            request_done: outcome == Outcome::Ok,
+        };
         stack.handle(*now + 800, ended, &mut actions);
     }
     black_box(&actions);
--- a/limits/src/layer/attempts.rs
+++ b/limits/src/layer/attempts.rs
@@ -41,7 +41,7 @@
             attempt: index,
             outcome: self.outcome,
             took: self.took,
-            last: self.last,
+            request_done: self.last,
         }
     }
 }
--- a/limits/src/layer/mod.rs
+++ b/limits/src/layer/mod.rs
@@ -174,7 +174,7 @@
     fn report_unsent(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(UnsentAttempt { id, attempt, outcome }) = self.unsent.pop_front() {
             let last = self.requests.get(&id).is_none_or(|request| request.finished);
-            let ended = Event::AttemptEnded { id, attempt, outcome, took: None, last };
+            let ended = Event::AttemptEnded { id, attempt, outcome, took: None, request_done: last };
             self.handle_within(now, ended, actions);
             self.remove_if_done(id);
         }
@@ -201,7 +201,7 @@
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(request) => self.on_arrival(now, request, actions),
-            Event::AttemptEnded { id, attempt, outcome, took, last } => {
+            Event::AttemptEnded { id, attempt, outcome, took, request_done: last } => {
                 let end = AttemptEnd { id, number: attempt, outcome, took, last };
                 self.on_attempt_end(now, end, actions);
                 self.remove_if_done(id);
--- a/limits/tests/clock.rs
+++ b/limits/tests/clock.rs
@@ -82,7 +82,9 @@
                 self.open.insert(request.id, 0);
                 self.attempt(request.id, actions);
             }
-            Event::AttemptEnded { id, last: true, .. } | Event::ClientLeft(id) => drop(self.open.remove(&id)),
+            Event::AttemptEnded { id, request_done: true, .. } | Event::ClientLeft(id) => {
+                self.open.remove(&id);
+            }
             Event::AttemptEnded { id, .. } | Event::HedgeGranted(id) => self.attempt(id, actions),
             _ => {}
         }
@@ -175,7 +177,7 @@
                 let took = rng.random::<bool>().then(|| rng.random_range(0..2 * S));
                 self.tell(
                     now,
-                    Event::AttemptEnded { id, attempt, outcome, took, last: outcome == Outcome::Ok },
+                    Event::AttemptEnded { id, attempt, outcome, took, request_done: outcome == Outcome::Ok },
                 );
             }
             8 if !self.timers.is_empty() => {
@@ -213,7 +215,7 @@
         while let Some((id, attempt)) = host.out.pop() {
             host.tell(
                 now,
-                Event::AttemptEnded { id, attempt, outcome: Outcome::Reset, took: None, last: true },
+                Event::AttemptEnded { id, attempt, outcome: Outcome::Reset, took: None, request_done: true },
             );
         }
         assert_eq!(host.limits.left_over(), None, "seed {seed}");
--- a/limits/tests/layer.rs
+++ b/limits/tests/layer.rs
@@ -59,7 +59,7 @@
                 actions.push(Action::Timer { after: r.deadline - now, token: r.id << 3 | DUE });
                 actions.push(send(r.id, if r.write { ORIGIN } else { 0 }));
             }
-            Event::AttemptEnded { id, attempt, outcome, last, .. } => {
+            Event::AttemptEnded { id, attempt, outcome, request_done: last, .. } => {
                 self.heard.push(format!("{id}.{attempt} {outcome:?}"));
                 let held = self.held.get_mut(&id).expect("an attempt of something held");
                 held.1 -= 1;
@@ -139,7 +139,7 @@
     fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
         self.now += took;
         let last = outcome == Outcome::Ok;
-        self.tell(Event::AttemptEnded { id, attempt, outcome, took: Some(took), last })
+        self.tell(Event::AttemptEnded { id, attempt, outcome, took: Some(took), request_done: last })
     }
 
     /// Fires timers up to `until`; what came of them.
@@ -480,7 +480,13 @@
     let out: Vec<u64> = first.iter().filter(late).copied().collect();
     assert_eq!(out.len(), copies.len());
     for id in out {
-        host.tell(Event::AttemptEnded { id, attempt: 1, outcome: Outcome::Ok, took: None, last: true });
+        host.tell(Event::AttemptEnded {
+            id,
+            attempt: 1,
+            outcome: Outcome::Ok,
+            took: None,
+            request_done: true,
+        });
     }
     assert_eq!(host.limits.left_over(), None);
     // Writes and classes that must not run twice never have one.
@@ -537,7 +543,7 @@
                     [Outcome::Ok, Outcome::Miss, Outcome::Rejected, Outcome::Error, Outcome::Reset];
                 let outcome = outcomes[rng.random_range(0..5)];
                 let last = outcome == Outcome::Ok;
-                Event::AttemptEnded { id, attempt, outcome, took: Some(9 * MS), last }
+                Event::AttemptEnded { id, attempt, outcome, took: Some(9 * MS), request_done: last }
             };
             stack.handle(now, event, &mut actions);
             for action in actions.drain(..) {
@@ -587,7 +593,7 @@
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(Request { id, .. })
-            | Event::AttemptEnded { id, last: false, outcome: Outcome::Reset, .. } => {
+            | Event::AttemptEnded { id, request_done: false, outcome: Outcome::Reset, .. } => {
                 self.attempts += 1;
                 actions.push(Action::Send { id, server: 0, give_up_at: 0, begin_by: Micros::MAX });
             }
@@ -626,8 +632,13 @@
             deadline: due,
         })
     };
-    let ended =
-        |id, attempt| Event::AttemptEnded { id, attempt, outcome: Outcome::Reset, took: None, last: false };
+    let ended = |id, attempt| Event::AttemptEnded {
+        id,
+        attempt,
+        outcome: Outcome::Reset,
+        took: None,
+        request_done: false,
+    };
     tell(0, Event::EndpointList(&[member(0, 0), member(1, 0), member(2, 0)]));
     // The second request is out when the first one's failure opens the breaker. Its own retry comes after that is
     // over, and is the probe, which a backoff delays.
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -241,7 +241,7 @@
                 | AttemptOutcome::NoCapacity
         );
         let took = if answered { reply.took } else { Some(waited) };
-        self.feed(now, Event::AttemptEnded { id, attempt: n, outcome: told, took, last });
+        self.feed(now, Event::AttemptEnded { id, attempt: n, outcome: told, took, request_done: last });
         self.forget(id);
     }
 
@@ -356,7 +356,7 @@
         self.counters.attempt_ended(AttemptOutcome::Cancelled);
         let took = Some(now.saturating_sub(attempt.sent));
         let (outcome, last) = (AttemptOutcome::Cancelled.outcome(), request.finished);
-        let event = Event::AttemptEnded { id, attempt: n, outcome, took, last };
+        let event = Event::AttemptEnded { id, attempt: n, outcome, took, request_done: last };
         self.inputs.push_back(event);
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -240,7 +240,7 @@
         /// the handshake that a new connection's first command pays for.
         took: Option<Micros>,
         /// Whether the request is over, by this outcome or before it.
-        last: bool,
+        request_done: bool,
     },
     /// The client has left; no answer is owed any more.
     ClientLeft(RequestId),
--- a/src/router.rs
+++ b/src/router.rs
@@ -112,8 +112,8 @@
             Event::DiscoveryError => self.handle_discovery_error(actions),
             Event::Arrived(request) => self.handle_arrival(now, request, actions),
             Event::ReplyStarted { id, attempt, took } => self.reply_started(now, id, attempt, took, actions),
-            Event::AttemptEnded { id, attempt, outcome, took, last } => {
-                let end = AttemptEnd { id, attempt: attempt as usize, outcome, took, last };
+            Event::AttemptEnded { id, attempt, outcome, took, request_done } => {
+                let end = AttemptEnd { id, attempt: attempt as usize, outcome, took, request_done };
                 self.attempt_ended(now, end, actions);
             }
             Event::ClientLeft(id) => {
--- a/src/router/attempt_results.rs
+++ b/src/router/attempt_results.rs
@@ -14,7 +14,7 @@
     /// How long the server took, where that can be told.
     pub(super) took: Option<Micros>,
     /// Whether the request is over.
-    pub(super) last: bool,
+    pub(super) request_done: bool,
 }
 
 /// Whether the outcome may mean that the server is congested or down.
@@ -100,7 +100,7 @@
         attempt.end(outcome);
         let ended = *attempt;
         let was_done = request.done;
-        request.done |= end.last;
+        request.done |= end.request_done;
         if outcome == Outcome::Miss && !ended.is_origin_call() {
             request.missed_at = Some(ended.backend);
         }
@@ -109,7 +109,7 @@
         if !ended.streaming {
             self.record_result(now, &ended, outcome, end.took);
         }
-        if end.last && !was_done {
+        if end.request_done && !was_done {
             if outcome == Outcome::Ok {
                 self.quotas.record_success(self.in_flight[&id].quota);
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -100,8 +100,8 @@
     outcome: Outcome,
     took: Micros,
 ) -> Vec<Action> {
-    let last = outcome == Outcome::Ok;
-    handle(router, now, Event::AttemptEnded { id, attempt, outcome, took: Some(took), last })
+    let request_done = outcome == Outcome::Ok;
+    handle(router, now, Event::AttemptEnded { id, attempt, outcome, took: Some(took), request_done })
 }
 
 /// The servers that the actions send to.
--- a/tests/congestion_window.rs
+++ b/tests/congestion_window.rs
@@ -162,7 +162,7 @@
         let elapsed = if id < 100 { 30 * MS } else { S };
         let took = (id % 2 == 0).then_some(30 * MS);
         now += elapsed;
-        let ended = Event::AttemptEnded { id, attempt: 0, outcome: Outcome::Ok, took, last: true };
+        let ended = Event::AttemptEnded { id, attempt: 0, outcome: Outcome::Ok, took, request_done: true };
         handle(&mut router, now, ended);
         let second = Request { write: true, class: Some(3), ..read(1000 + id, id, now) };
         assert_eq!(sent(&arrive(&mut router, now, second)), [ORIGIN], "{id}: room for two");
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -158,9 +158,9 @@
                         seen.answered = true;
                         self.answers += 1;
                     }
-                    let last = seen.answered;
+                    let request_done = seen.answered;
                     let took = Some(at - sent_at);
-                    self.feed(Event::AttemptEnded { id, attempt, outcome, took, last });
+                    self.feed(Event::AttemptEnded { id, attempt, outcome, took, request_done });
                 }
             }
         }
--- a/tests/request_coalescing.rs
+++ b/tests/request_coalescing.rs
@@ -74,6 +74,7 @@
     // It ends long after the request's time, and nothing is done anew.
     let late = now + 20 * S;
     assert_eq!(handle(&mut router, late, Event::Timer(1 << 2 | 1)), []);
-    let failed = Event::AttemptEnded { id: 1, attempt: 1, outcome: Outcome::Reset, took: None, last: true };
+    let failed =
+        Event::AttemptEnded { id: 1, attempt: 1, outcome: Outcome::Reset, took: None, request_done: true };
     assert_eq!(handle(&mut router, late, failed), []);
 }
