--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -5,18 +5,19 @@
 use notchdoor::*;
 
 #[test]
-fn a_full_window_rejects_at_once_with_a_retry_after() {
-    let mut router = router(settings(), &endpoints(6));
+fn writes_beyond_a_full_origin_window_are_rejected_with_retry_after() {
+    let mut router = new_router(settings(), &endpoints(6));
     let mut rejections = 0;
     for id in 1..40 {
         let request = at_most_once_write(id, START);
         let actions = arrive(&mut router, START, request);
-        if rejected(&actions) {
+        if is_rejected(&actions) {
             rejections += 1;
-            let advice = |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
-            assert!(actions.iter().any(advice));
+            let has_retry_after =
+                |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
+            assert!(actions.iter().any(has_retry_after));
         } else {
-            assert_eq!(sent(&actions), [ORIGIN]);
+            assert_eq!(send_targets(&actions), [ORIGIN]);
         }
     }
     assert!(rejections > 0, "39 writes at once fit the first window");
@@ -24,52 +25,60 @@
 
 /// Calls whose clients cannot wait for them would take the origin's capacity for nothing.
 #[test]
-fn a_call_that_can_hardly_be_over_in_time_is_not_sent() {
-    let mut router = router(settings(), &endpoints(6));
+fn write_that_cannot_finish_before_its_deadline_is_rejected() {
+    let mut router = new_router(settings(), &endpoints(6));
     for id in 1..10 {
-        assert!(write(&mut router, id, START, 100 * MS, Outcome::Ok));
+        assert!(run_write(&mut router, id, START, 100 * MS, Outcome::Ok));
     }
-    for (id, left, goes) in [(20, 30, false), (21, 90, true)] {
-        let due = START + S + left * MS;
-        let request = Request { write: true, class: Some(3), deadline: due, ..read(id, id, START) };
+    for (id, time_left_ms, expect_sent) in [(20, 30, false), (21, 90, true)] {
+        let due = START + S + time_left_ms * MS;
+        let request = Request { write: true, class: Some(3), deadline: due, ..read_request(id, id, START) };
         let actions = arrive(&mut router, START + S, request);
-        assert_eq!((!sent(&actions).is_empty(), rejected(&actions)), (goes, !goes), "{left}");
+        assert_eq!(
+            (!send_targets(&actions).is_empty(), is_rejected(&actions)),
+            (expect_sent, !expect_sent),
+            "{time_left_ms} ms left"
+        );
     }
 }
 
 /// Writes that find the window full of reads' fetches are rejected for good, and are worth more.
 #[test]
-fn reads_leave_some_of_the_window_to_writes_and_a_layer_may_have_them_leave_more() {
-    let fetches = |share: f64| {
+fn reads_use_only_their_share_of_the_origin_window() {
+    let admitted_counts = |share: f64| {
         let mut settings = settings();
         settings.classes[0].window_share = share;
-        let mut router = router(settings, &endpoints(6));
+        let mut router = new_router(settings, &endpoints(6));
         let mut fetching = 0;
         for id in 1..=8 {
             let now = START + id * 2 * MS;
-            let asked = arrive(&mut router, now, read(id, key_hash(&id.to_le_bytes()), now));
-            assert_eq!(sent(&asked).len(), 1);
-            let then = end(&mut router, now + MS, id, 0, Outcome::Miss, MS);
-            fetching += usize::from(sent(&then) == [ORIGIN]);
-            assert!(sent(&then) == [ORIGIN] || rejected(&then), "refused at once, not held");
+            let on_arrival = arrive(&mut router, now, read_request(id, key_hash(&id.to_le_bytes()), now));
+            assert_eq!(send_targets(&on_arrival).len(), 1);
+            let after_miss = end_attempt(&mut router, now + MS, id, 0, Outcome::Miss, MS);
+            fetching += usize::from(send_targets(&after_miss) == [ORIGIN]);
+            assert!(
+                send_targets(&after_miss) == [ORIGIN] || is_rejected(&after_miss),
+                "refused at once, not held"
+            );
         }
         let now = START + S;
-        let write = |id| at_most_once_write(id, now);
-        let writes = (20..30).filter(|&id| !sent(&arrive(&mut router, now, write(id))).is_empty()).count();
+        let new_write = |id| at_most_once_write(id, now);
+        let writes =
+            (20..30).filter(|&id| !send_targets(&arrive(&mut router, now, new_write(id))).is_empty()).count();
         (fetching, writes)
     };
     // The window starts at eight: three fifths of it hold four fetches whole.
-    assert_eq!(fetches(1.0), (4, 4));
-    assert_eq!(fetches(0.25), (2, 6));
-    assert_eq!(fetches(0.01), (1, 7), "never less than one: a class must not starve");
+    assert_eq!(admitted_counts(1.0), (4, 4));
+    assert_eq!(admitted_counts(0.25), (2, 6));
+    assert_eq!(admitted_counts(0.01), (1, 7), "never less than one: a class must not starve");
 }
 
 /// Finding 5: after delays of next to nothing a rejection told the client no time to come back.
 #[test]
-fn a_rejection_always_has_a_retry_after() {
-    let mut router = router(settings(), &endpoints(6));
+fn retry_after_is_at_least_one_millisecond_when_delays_are_zero() {
+    let mut router = new_router(settings(), &endpoints(6));
     for id in 1..40 {
-        write(&mut router, id, START + id * MS, 0, Outcome::Ok);
+        run_write(&mut router, id, START + id * MS, 0, Outcome::Ok);
     }
     let now = START + S;
     let request = |id| at_most_once_write(id, now);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -53,7 +53,7 @@
 }
 
 /// As many proxies as `count`, each with its own seed, with the same endpoint list at the start.
-pub fn fleet(count: u32, endpoints: &[Endpoint]) -> Vec<Router> {
+pub fn proxy_fleet(count: u32, endpoints: &[Endpoint]) -> Vec<Router> {
     let settings = Settings { proxies: count, ..settings() };
     (0..count)
         .map(|seed| {
@@ -64,13 +64,13 @@
         .collect()
 }
 
-pub fn router(settings: Settings, endpoints: &[Endpoint]) -> Router {
+pub fn new_router(settings: Settings, endpoints: &[Endpoint]) -> Router {
     let mut router = Router::new(settings, 7, START);
     router.handle(START, Event::EndpointList(endpoints), &mut Vec::new());
     router
 }
 
-pub fn read(id: RequestId, key: Key, now: Micros) -> Request {
+pub fn read_request(id: RequestId, key: Key, now: Micros) -> Request {
     Request {
         id,
         class: Some(0),
@@ -92,7 +92,7 @@
     handle(router, now, Event::Arrived(request))
 }
 
-pub fn end(
+pub fn end_attempt(
     router: &mut Router,
     now: Micros,
     id: RequestId,
@@ -105,7 +105,7 @@
 }
 
 /// The servers that the actions send to.
-pub fn sent(actions: &[Action]) -> Vec<ServerId> {
+pub fn send_targets(actions: &[Action]) -> Vec<ServerId> {
     let server = |a: &Action| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -113,32 +113,33 @@
     actions.iter().filter_map(server).collect()
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 /// A write of the class that must never run twice.
 pub fn at_most_once_write(id: RequestId, now: Micros) -> Request {
-    Request { write: true, class: Some(3), ..read(id, id, now) }
+    Request { write: true, class: Some(3), ..read_request(id, id, now) }
 }
 
 /// Sends a write at `now` and ends it `took` later; says where it went, if anywhere.
-pub fn write(router: &mut Router, id: RequestId, now: Micros, took: Micros, outcome: Outcome) -> bool {
+pub fn run_write(router: &mut Router, id: RequestId, now: Micros, took: Micros, outcome: Outcome) -> bool {
     let request = at_most_once_write(id, now);
-    let there = !sent(&arrive(router, now, request)).is_empty();
-    if there {
-        end(router, now + took, id, 0, outcome, took);
+    let was_sent = !send_targets(&arrive(router, now, request)).is_empty();
+    if was_sent {
+        end_attempt(router, now + took, id, 0, outcome, took);
     }
-    there
+    was_sent
 }
 
 /// Keys whose home is the cache `home` of six.
-pub fn keys_at(home: ServerId, count: usize) -> Vec<Key> {
-    let mut probe = router(settings(), &endpoints(6));
+pub fn keys_placed_on(home: ServerId, count: usize) -> Vec<Key> {
+    let mut probe = new_router(settings(), &endpoints(6));
     let mut at_home = |n: &u64| {
-        let asked = sent(&arrive(&mut probe, START, read(*n, key_hash(&n.to_le_bytes()), START)));
-        end(&mut probe, START, *n, 0, Outcome::Ok, 0);
-        asked == [home]
+        let targets =
+            send_targets(&arrive(&mut probe, START, read_request(*n, key_hash(&n.to_le_bytes()), START)));
+        end_attempt(&mut probe, START, *n, 0, Outcome::Ok, 0);
+        targets == [home]
     };
     (1..1000u64).filter(|n| at_home(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
 }
@@ -146,5 +147,5 @@
 /// A fleet so large that this proxy asks one cache twice only in many seconds.
 pub fn large_fleet(n: u32) -> (Router, Vec<Endpoint>) {
     let list: Vec<Endpoint> = (1000..1000 + n).chain([ORIGIN]).map(endpoint).collect();
-    (router(settings(), &list), list)
+    (new_router(settings(), &list), list)
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -5,17 +5,20 @@
 use notchdoor::*;
 
 #[test]
-fn a_server_missing_from_a_full_list_is_gone() {
-    let mut router = router(settings(), &endpoints(2));
-    let home = sent(&arrive(&mut router, START, read(1, 5, START)))[0];
+fn server_missing_from_a_full_list_gets_no_attempts() {
+    let mut router = new_router(settings(), &endpoints(2));
+    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)))[0];
     let rest: Vec<Endpoint> = endpoints(2).into_iter().filter(|m| m.server != home).collect();
     handle(&mut router, START, Event::EndpointList(&rest));
-    assert_ne!(sent(&arrive(&mut router, START, read(2, 5, START)))[0], home);
-    assert_ne!(sent(&end(&mut router, START, 1, 0, Outcome::ConnectFailed, 0)).first(), Some(&home));
+    assert_ne!(send_targets(&arrive(&mut router, START, read_request(2, 5, START)))[0], home);
+    assert_ne!(
+        send_targets(&end_attempt(&mut router, START, 1, 0, Outcome::ConnectFailed, 0)).first(),
+        Some(&home)
+    );
 }
 
 #[test]
-fn a_failed_watch_is_opened_again() {
+fn failed_watch_is_reopened_after_a_delay() {
     let mut router = Router::new(
         Settings { discovery: Discovery::OnRequest { poll_interval: 10 * S }, ..settings() },
         1,
@@ -33,17 +36,17 @@
 /// A change counts as delivered 6 s after it could be had: no pause between calls may be near that, whatever
 /// the settings leave a proxy between two calls.
 #[test]
-fn discovery_is_called_again_within_three_seconds() {
+fn discovery_retry_delay_is_at_most_three_seconds() {
     let settings = Settings { discovery: Discovery::OnRequest { poll_interval: 100 * S }, ..settings() };
-    let mut router = router(settings, &endpoints(4));
-    let mut longest = 0;
+    let mut router = new_router(settings, &endpoints(4));
+    let mut max_backoff = 0;
     for _ in 0..50 {
         for action in handle(&mut router, START, Event::DiscoveryError) {
             match action {
-                Action::Timer { after, .. } => longest = longest.max(after),
+                Action::Timer { after, .. } => max_backoff = max_backoff.max(after),
                 other => panic!("{other:?}"),
             }
         }
     }
-    assert!((2 * S..=3 * S).contains(&longest), "{longest}");
+    assert!((2 * S..=3 * S).contains(&max_backoff), "{max_backoff}");
 }
--- a/tests/request_coalescing.rs
+++ b/tests/request_coalescing.rs
@@ -6,38 +6,39 @@
 
 #[test]
 fn misses_of_one_key_share_one_fetch_and_then_read_the_cache() {
-    let mut router = router(settings(), &endpoints(6));
-    let home = sent(&arrive(&mut router, START, read(1, 5, START)));
-    arrive(&mut router, START, read(2, 5, START));
-    assert_eq!(sent(&end(&mut router, START + MS, 1, 0, Outcome::Miss, MS)), [ORIGIN]);
-    assert_eq!(sent(&end(&mut router, START + MS, 2, 0, Outcome::Miss, MS)), [] as [u32; 0]);
-    assert_eq!(sent(&arrive(&mut router, START + MS, read(3, 5, START))), [] as [u32; 0]);
-    let then = sent(&end(&mut router, START + 50 * MS, 1, 1, Outcome::Ok, 49 * MS));
-    assert_eq!(then, [home[0], home[0]]);
+    let mut router = new_router(settings(), &endpoints(6));
+    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
+    arrive(&mut router, START, read_request(2, 5, START));
+    assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 1, 0, Outcome::Miss, MS)), [ORIGIN]);
+    assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 2, 0, Outcome::Miss, MS)), [] as [u32; 0]);
+    assert_eq!(send_targets(&arrive(&mut router, START + MS, read_request(3, 5, START))), [] as [u32; 0]);
+    let sent_after_fetch =
+        send_targets(&end_attempt(&mut router, START + 50 * MS, 1, 1, Outcome::Ok, 49 * MS));
+    assert_eq!(sent_after_fetch, [home[0], home[0]]);
 }
 
 #[test]
-fn a_lost_fetch_does_not_strand_its_waiters() {
-    let mut router = router(settings(), &endpoints(6));
+fn waiter_fetches_itself_after_the_shared_fetch_fails() {
+    let mut router = new_router(settings(), &endpoints(6));
     for id in 1..=2 {
-        arrive(&mut router, START, read(id, 5, START));
+        arrive(&mut router, START, read_request(id, 5, START));
     }
     for id in 1..=2 {
-        end(&mut router, START + MS, id, 0, Outcome::Miss, MS);
+        end_attempt(&mut router, START + MS, id, 0, Outcome::Miss, MS);
     }
-    let actions = end(&mut router, START + 50 * MS, 1, 1, Outcome::Reset, 49 * MS);
-    assert_eq!(sent(&actions), [ORIGIN], "the next in line fetches in its stead");
+    let actions = end_attempt(&mut router, START + 50 * MS, 1, 1, Outcome::Reset, 49 * MS);
+    assert_eq!(send_targets(&actions), [ORIGIN], "the next in line fetches in its stead");
 }
 
 /// Finding 2: clients that asked for one key and left, over and over, were remembered for as long as a fetch
 /// was out.
 #[test]
-fn clients_that_leave_do_not_pile_up_behind_a_fetch() {
-    let mut router = router(settings(), &endpoints(6));
-    arrive(&mut router, START, read(1, 5, START));
-    assert_eq!(sent(&end(&mut router, START, 1, 0, Outcome::Miss, 0)), [ORIGIN]);
+fn waiters_of_clients_that_left_are_dropped() {
+    let mut router = new_router(settings(), &endpoints(6));
+    arrive(&mut router, START, read_request(1, 5, START));
+    assert_eq!(send_targets(&end_attempt(&mut router, START, 1, 0, Outcome::Miss, 0)), [ORIGIN]);
     for id in 2..5_000 {
-        arrive(&mut router, START, read(id, 5, START));
+        arrive(&mut router, START, read_request(id, 5, START));
         handle(&mut router, START, Event::ClientLeft(id));
     }
     let snapshot = router.snapshot();
@@ -45,32 +46,40 @@
         snapshot.coalesced_waiters <= 2 * snapshot.in_flight_requests && snapshot.in_flight_requests < 40,
         "{snapshot:?}"
     );
-    arrive(&mut router, START, read(9_000, 5, START));
-    assert_eq!(sent(&end(&mut router, START + MS, 1, 1, Outcome::Ok, MS)).len(), 1, "who stays is served");
+    arrive(&mut router, START, read_request(9_000, 5, START));
+    assert_eq!(
+        send_targets(&end_attempt(&mut router, START + MS, 1, 1, Outcome::Ok, MS)).len(),
+        1,
+        "who stays is served"
+    );
 }
 
 /// Large values: a slow reader held the origin's slot and the reads that waited for the fetch.
 #[test]
-fn a_streamed_value_holds_no_slot_and_lets_its_waiters_go_on() {
-    let mut router = router(settings(), &endpoints(6));
-    let home = sent(&arrive(&mut router, START, read(1, 5, START)));
-    arrive(&mut router, START, read(2, 5, START));
+fn started_reply_frees_its_window_slot_and_resumes_waiters() {
+    let mut router = new_router(settings(), &endpoints(6));
+    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
+    arrive(&mut router, START, read_request(2, 5, START));
     for id in [1, 2] {
-        end(&mut router, START + MS, id, 0, Outcome::Miss, MS);
+        end_attempt(&mut router, START + MS, id, 0, Outcome::Miss, MS);
     }
     assert_eq!(router.snapshot().in_flight_attempts, 1, "one fetch for both");
     let now = START + 50 * MS;
     let started = handle(&mut router, now, Event::ReplyStarted { id: 1, attempt: 1, took: Some(49 * MS) });
-    assert_eq!(sent(&started), home, "the one that waited finds it in the cache");
-    let room = |router: &mut Router, id: RequestId| {
-        let fits = (id..).take_while(|&id| {
+    assert_eq!(send_targets(&started), home, "the one that waited finds it in the cache");
+    let count_admitted_writes = |router: &mut Router, id: RequestId| {
+        let admitted = (id..).take_while(|&id| {
             let request = at_most_once_write(id, now);
-            !sent(&arrive(router, now, request)).is_empty()
+            !send_targets(&arrive(router, now, request)).is_empty()
         });
-        fits.count()
+        admitted.count()
     };
-    let mut other = common::router(settings(), &endpoints(6));
-    assert_eq!(room(&mut router, 100), room(&mut other, 100), "its slot is free");
+    let mut fresh = common::new_router(settings(), &endpoints(6));
+    assert_eq!(
+        count_admitted_writes(&mut router, 100),
+        count_admitted_writes(&mut fresh, 100),
+        "its slot is free"
+    );
     // It ends long after the request's time, and nothing is done anew.
     let late = now + 20 * S;
     assert_eq!(handle(&mut router, late, Event::Timer(1 << 2 | 1)), []);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -6,100 +6,105 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
-fn a_warming_cache_gets_no_more_than_it_can_bear_even_of_a_hot_key() {
+fn reads_to_a_warming_cache_are_limited_even_for_a_hot_key() {
     let mut list = endpoints(5);
-    let mut router = router(settings(), &list);
+    let mut router = new_router(settings(), &list);
     let mut now = START;
     let mut id = 0;
-    let mut load = |router: &mut Router, now: &mut Micros, seconds: u64, hot: bool| -> u32 {
+    let mut run_reads = |router: &mut Router, now: &mut Micros, seconds: u64, hot: bool| -> u32 {
         let mut cold_sends = 0;
         for n in 0..seconds * 100 {
             id += 1;
             *now += 10 * MS;
             let key = if hot { 4242 } else { key_hash(&n.to_le_bytes()) };
-            for server in sent(&arrive(router, *now, read(id, key, *now))) {
+            for server in send_targets(&arrive(router, *now, read_request(id, key, *now))) {
                 cold_sends += u32::from(server == 0);
             }
-            end(router, *now + MS, id, 0, Outcome::Ok, MS);
+            end_attempt(router, *now + MS, id, 0, Outcome::Ok, MS);
         }
         cold_sends
     };
-    let warm = load(&mut router, &mut now, 5, false);
+    let warm = run_reads(&mut router, &mut now, 5, false);
     assert!(warm > 50, "server 0 takes a fifth of 500 reads while warm: {warm}");
     for hot in [false, true] {
         list[0].started_at = now;
         handle(&mut router, now, Event::EndpointList(&list));
         // Two seconds of 100 reads a second over five servers: a tenth of 40 is 4, and the ramp adds a few.
-        let cold = load(&mut router, &mut now, 2, hot);
+        let cold = run_reads(&mut router, &mut now, 2, hot);
         assert!(cold <= 12, "a cold server was sent {cold} reads (hot key: {hot})");
     }
 }
 
 #[test]
-fn hundreds_of_proxies_notified_in_one_millisecond_do_not_overload_a_warming_cache() {
+fn hundreds_of_proxies_updated_at_once_do_not_overload_a_warming_cache() {
     let mut list = endpoints(50);
-    let mut routers = fleet(200, &list);
+    let mut routers = proxy_fleet(200, &list);
     let mut id = 0;
     // Each proxy gets five reads a second: a thousand in all, of which server 0 takes twenty while warm.
-    let mut second = |routers: &mut Vec<Router>, from: Micros| -> u32 {
-        let mut to_zero = 0;
+    let mut run_second = |routers: &mut Vec<Router>, from: Micros| -> u32 {
+        let mut reads_at_0 = 0;
         for step in 0..5 {
             let now = from + step * 200 * MS;
             for router in routers.iter_mut() {
                 id += 1;
-                let to = sent(&arrive(router, now, read(id, key_hash(&id.to_le_bytes()), now)));
-                to_zero += u32::from(to == [0]);
-                end(router, now + MS, id, 0, Outcome::Ok, MS);
+                let to =
+                    send_targets(&arrive(router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
+                reads_at_0 += u32::from(to == [0]);
+                end_attempt(router, now + MS, id, 0, Outcome::Ok, MS);
             }
         }
-        to_zero
+        reads_at_0
     };
     for s in 0..5 {
-        second(&mut routers, START + s * S);
+        run_second(&mut routers, START + s * S);
     }
     let start = START + 5 * S;
     list[0].started_at = start;
     for router in &mut routers {
         handle(router, start, Event::EndpointList(&list));
     }
-    let mut all = 0;
+    let mut total = 0;
     for s in 0..5u64 {
-        let cold = second(&mut routers, start + s * S);
-        let can = 20.0 * (0.1 + 0.9 * s as f64 / 20.0);
-        assert!(f64::from(cold) <= 3.0 * can, "second {s}: {cold} sent to a server that can do {can}");
-        all += cold;
+        let cold = run_second(&mut routers, start + s * S);
+        let capacity = 20.0 * (0.1 + 0.9 * s as f64 / 20.0);
+        assert!(
+            f64::from(cold) <= 3.0 * capacity,
+            "second {s}: {cold} sent to a server that can do {capacity}"
+        );
+        total += cold;
     }
     // With budgets that start at nothing no proxy would earn a send while the server is cold.
-    assert!(all >= 1, "the cold server is left out");
+    assert!(total >= 1, "the cold server is left out");
 }
 
 /// In a mass replacement a fleet that held its new caches back would overload the few warm ones; each proxy
 /// reads from a warming cache about once in seconds.
 #[test]
-fn caches_replaced_en_masse_get_their_share_of_reads_that_come_one_at_a_time() {
+fn many_replaced_caches_get_their_weight_share_of_sparse_reads() {
     let mut list = endpoints(50);
-    let mut routers = fleet(200, &list);
+    let mut routers = proxy_fleet(200, &list);
     let mut id = 0;
     // Five reads a second at each proxy, all hits. Gives the reads that went to servers 0 to 29 and what
     // their weight had them take.
-    let mut second = |routers: &mut Vec<Router>, from: Micros, warmth: f64| -> (u32, f64) {
-        let (mut to_cold, mut share) = (0, 0.0);
+    let mut run_second = |routers: &mut Vec<Router>, from: Micros, capacity_share: f64| -> (u32, f64) {
+        let (mut to_cold, mut expected_reads) = (0, 0.0);
         for step in 0..5 {
             let now = from + step * 200 * MS;
             for router in routers.iter_mut() {
                 id += 1;
-                let to = sent(&arrive(router, now, read(id, key_hash(&id.to_le_bytes()), now)));
+                let to =
+                    send_targets(&arrive(router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
                 to_cold += u32::from(to.first().is_some_and(|&s| s < 30));
-                share += 30.0 * warmth / (20.0 + 30.0 * warmth);
+                expected_reads += 30.0 * capacity_share / (20.0 + 30.0 * capacity_share);
                 if !to.is_empty() {
-                    end(router, now + MS, id, 0, Outcome::Ok, MS);
+                    end_attempt(router, now + MS, id, 0, Outcome::Ok, MS);
                 }
             }
         }
-        (to_cold, share)
+        (to_cold, expected_reads)
     };
     for s in 0..5 {
-        second(&mut routers, START + s * S, 1.0);
+        run_second(&mut routers, START + s * S, 1.0);
     }
     let start = START + 5 * S;
     for endpoint in &mut list[..30] {
@@ -108,52 +113,56 @@
     for router in &mut routers {
         handle(router, start, Event::EndpointList(&list));
     }
-    let (mut all, mut wanted) = (0, 0.0);
+    let (mut total, mut total_expected) = (0, 0.0);
     for s in 0..5u64 {
         // Mid-second, as the ramp has it: the weight is of when each read ranks its servers.
-        let warmth = 0.1 + 0.9 * (s as f64 + 0.5) / 20.0;
-        let (cold, share) = second(&mut routers, start + s * S, warmth);
+        let capacity_share = 0.1 + 0.9 * (s as f64 + 0.5) / 20.0;
+        let (cold, expected_reads) = run_second(&mut routers, start + s * S, capacity_share);
         assert!(
-            f64::from(cold) <= 1.5 * share,
-            "second {s}: {cold} to cold caches whose weight is {share:.0}"
+            f64::from(cold) <= 1.5 * expected_reads,
+            "second {s}: {cold} to cold caches whose weight is {expected_reads:.0}"
         );
-        (all, wanted) = (all + cold, wanted + share);
+        (total, total_expected) = (total + cold, total_expected + expected_reads);
     }
     // A saving of one send let some half through.
-    assert!(f64::from(all) >= 0.8 * wanted, "cold caches took {all} of the {wanted:.0} that their weight is");
+    assert!(
+        f64::from(total) >= 0.8 * total_expected,
+        "cold caches took {total} of the {total_expected:.0} that their weight is"
+    );
 }
 
 /// Where all caches were replaced and hardly any hit is left to tell what caches bear, warming ones that
 /// answered their few hits in 40 ms were sent less and less.
 #[test]
-fn a_fleet_that_is_all_warming_up_takes_what_its_caches_are_seen_to_bear() {
+fn fully_warming_fleet_takes_what_its_answer_times_allow() {
     let mut list = endpoints(9);
-    let mut router = router(settings(), &list);
+    let mut router = new_router(settings(), &list);
     let mut now = START;
     // Reads of one second at caches of which so many are empty but for every sixteenth key; how many went to
     // those.
-    let mut second = |router: &mut Router, empty: u32| {
+    let mut run_second = |router: &mut Router, empty: u32| {
         let mut to_empty = 0;
         for n in 0..300u64 {
             now += S / 300;
-            let Some(server) = sent(&arrive(router, now, read(now, n, now))).first().copied() else {
+            let Some(server) = send_targets(&arrive(router, now, read_request(now, n, now))).first().copied()
+            else {
                 continue;
             };
             to_empty += u32::from(server < empty);
             let miss = server < empty && n % 16 > 0;
             let first = if server == ORIGIN || miss { Outcome::Miss } else { Outcome::Ok };
-            if !sent(&end(router, now, now, 0, first, 40 * MS)).is_empty() {
-                end(router, now, now, 1, Outcome::Ok, 60 * MS);
+            if !send_targets(&end_attempt(router, now, now, 0, first, 40 * MS)).is_empty() {
+                end_attempt(router, now, now, 1, Outcome::Ok, 60 * MS);
             }
         }
         to_empty
     };
-    (0..4).for_each(|_| assert_eq!(second(&mut router, 0), 0));
+    (0..4).for_each(|_| assert_eq!(run_second(&mut router, 0), 0));
     for endpoint in list.iter_mut().take(9) {
         endpoint.started_at = START + 4 * S;
     }
     handle(&mut router, START + 4 * S, Event::EndpointUpdate(&list));
-    let cold: Vec<u32> = (0..8).map(|_| second(&mut router, 9)).collect();
+    let cold: Vec<u32> = (0..8).map(|_| run_second(&mut router, 9)).collect();
     // Each bears 25 a second at the least, half of them from this proxy: all nine 112.
     assert!(cold[7] >= 90, "cold caches took {cold:?} reads a second of 300");
 }
@@ -161,9 +170,9 @@
 /// A fleet whose warming caches may not take a read yet, and whose warm ones are full, must not reject what
 /// the origin has capacity for: the rejected come again, and the caches stay cold.
 #[test]
-fn what_no_cache_may_take_goes_to_the_origin_while_it_has_capacity() {
+fn reads_that_no_cache_may_take_go_to_the_origin_within_its_window() {
     let mut list = endpoints(9);
-    let mut router = router(settings(), &list);
+    let mut router = new_router(settings(), &list);
     let now = START + S;
     for endpoint in list.iter_mut().take(8) {
         endpoint.started_at = now;
@@ -171,59 +180,64 @@
     handle(&mut router, now, Event::EndpointUpdate(&list));
     // The one warm cache has all that it can take; nothing is known of the cold ones.
     let mut id = 0;
-    let mut asked = |router: &mut Router, count: u64| -> (usize, usize) {
-        let (mut there, mut rejections) = (0, 0);
+    let mut send_reads = |router: &mut Router, count: u64| -> (usize, usize) {
+        let (mut sent_to_origin, mut rejections) = (0, 0);
         for _ in 0..count {
             id += 1;
-            let actions = arrive(router, now, read(id, key_hash(&id.to_le_bytes()), now));
-            there += sent(&actions).iter().filter(|s| **s == ORIGIN).count();
-            rejections += usize::from(rejected(&actions));
+            let actions = arrive(router, now, read_request(id, key_hash(&id.to_le_bytes()), now));
+            sent_to_origin += send_targets(&actions).iter().filter(|s| **s == ORIGIN).count();
+            rejections += usize::from(is_rejected(&actions));
         }
-        (there, rejections)
+        (sent_to_origin, rejections)
     };
-    let (there, _) = asked(&mut router, 20);
-    assert!(there >= 3, "the origin was sent {there} of 20 reads that no cache took");
+    let (sent_to_origin, _) = send_reads(&mut router, 20);
+    assert!(sent_to_origin >= 3, "the origin was sent {sent_to_origin} of 20 reads that no cache took");
     // And no more than reads may have of its window, a share of the starting eight.
-    let (more, rejections) = asked(&mut router, 200);
-    assert!(there + more <= 5, "the origin was sent {} reads at once", there + more);
+    let (more_sent_to_origin, rejections) = send_reads(&mut router, 200);
+    assert!(
+        sent_to_origin + more_sent_to_origin <= 5,
+        "the origin was sent {} reads at once",
+        sent_to_origin + more_sent_to_origin
+    );
     assert!(rejections >= 180, "of 200 reads {rejections} were refused");
 }
 
 /// A read that its warming cache could not take was offered to every other one in turn: each had a little of
 /// all keys, and kept hardly any of them long.
 #[test]
-fn a_key_is_kept_at_one_cache_of_a_fleet_that_is_all_warming_up() {
+fn key_stays_at_one_cache_of_a_fully_warming_fleet() {
     let mut list = endpoints(9);
-    let mut router = router(settings(), &list);
+    let mut router = new_router(settings(), &list);
     let (mut now, mut id) = (START, 0);
     // Reads of a second, all of which hit, or every sixteenth; where each key's went.
-    let mut second = |router: &mut Router, hits: u64, homes: &mut BTreeMap<Key, BTreeSet<ServerId>>| {
-        for _ in 0..300 {
-            (now, id) = (now + S / 300, id + 1);
-            let key = key_hash(&(id % 300u64).to_le_bytes());
-            let to = sent(&arrive(router, now, read(id, key, now)));
-            if let Some(&server) = to.first() {
-                homes.entry(key).or_default().extend(Some(server).filter(|s| *s != ORIGIN));
-                let first = if server == ORIGIN || id % hits == 0 { Outcome::Ok } else { Outcome::Miss };
-                if !sent(&end(router, now, id, 0, first, 40 * MS)).is_empty() {
-                    end(router, now, id, 1, Outcome::Ok, 60 * MS);
+    let mut run_second =
+        |router: &mut Router, hits: u64, caches_by_key: &mut BTreeMap<Key, BTreeSet<ServerId>>| {
+            for _ in 0..300 {
+                (now, id) = (now + S / 300, id + 1);
+                let key = key_hash(&(id % 300u64).to_le_bytes());
+                let to = send_targets(&arrive(router, now, read_request(id, key, now)));
+                if let Some(&server) = to.first() {
+                    caches_by_key.entry(key).or_default().extend(Some(server).filter(|s| *s != ORIGIN));
+                    let first = if server == ORIGIN || id % hits == 0 { Outcome::Ok } else { Outcome::Miss };
+                    if !send_targets(&end_attempt(router, now, id, 0, first, 40 * MS)).is_empty() {
+                        end_attempt(router, now, id, 1, Outcome::Ok, 60 * MS);
+                    }
                 }
             }
-        }
-    };
-    (0..4).for_each(|_| second(&mut router, 1, &mut BTreeMap::new()));
+        };
+    (0..4).for_each(|_| run_second(&mut router, 1, &mut BTreeMap::new()));
     for endpoint in &mut list[..9] {
         endpoint.started_at = START + 4 * S;
     }
     handle(&mut router, START + 4 * S, Event::EndpointUpdate(&list));
-    let mut homes = BTreeMap::new();
-    (0..8).for_each(|_| second(&mut router, 16, &mut homes));
+    let mut caches_by_key = BTreeMap::new();
+    (0..8).for_each(|_| run_second(&mut router, 16, &mut caches_by_key));
     // All warm up alike, so that a key's home is the same throughout.
-    let taken: Vec<usize> = homes.values().map(BTreeSet::len).filter(|n| *n > 0).collect();
-    let spread = taken.iter().filter(|n| **n > 1).count();
+    let caches_per_key: Vec<usize> = caches_by_key.values().map(BTreeSet::len).filter(|n| *n > 0).collect();
+    let spread_keys = caches_per_key.iter().filter(|n| **n > 1).count();
     assert!(
-        taken.len() > 200 && spread == 0,
-        "of {} keys {spread} were taken by several caches",
-        taken.len()
+        caches_per_key.len() > 200 && spread_keys == 0,
+        "of {} keys {spread_keys} were taken by several caches",
+        caches_per_key.len()
     );
 }
