--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,28 +1,27 @@
-//! The interface of the decision module: settings, events and actions.
+//! Settings, events and actions: the interface between the router and its host.
 //!
-//! All times are [`Micros`]: whole microseconds on one monotonic clock of the caller's. Durations are in the
-//! same unit. Names are the caller's business; classes, tenants, zones, kinds, servers and keys are numbers
-//! here.
+//! All times are [`Micros`] on one monotonic clock that the host provides; durations have the same unit.
+//! Classes, tenants, zones, cells, kinds, servers and keys are plain numbers; the host maps them to names.
 
-/// A time on the caller's clock, or a duration, in microseconds.
+/// A point in time on the host's monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
-/// A request, numbered by the caller; never reused within one instance.
+/// Identifies a request. Assigned by the host and never reused within one router instance.
 pub type RequestId = u64;
-/// A server, as the endpoint list names it; the same at every proxy.
+/// Identifies a server in the endpoint list. All proxies use the same id for the same server.
 pub type ServerId = u32;
-/// A request's key, hashed by [`key_hash`].
+/// The hash of a request's key, computed by [`key_hash`].
 pub type Key = u64;
 
-/// Hashes a key's bytes. Every proxy of a fleet must use this one, or they place keys differently.
+/// Hashes the bytes of a key. All proxies of a fleet must use this function, since placement depends on it.
 pub fn key_hash(bytes: &[u8]) -> Key {
-    // FNV-1a: pinned here, so that a new compiler or standard library cannot move keys about.
+    // FNV-1a, implemented here so that placement cannot change with a compiler or library version.
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Which servers drop the repeats of a deduplicated request.
+/// The set of servers that share deduplication state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Every server.
+    /// All servers.
     All,
     /// The servers of one zone.
     Zone,
@@ -30,267 +29,269 @@
     Cell,
 }
 
-/// What may be repeated once an attempt may have run.
+/// Whether a request may be repeated once an attempt of it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat at any time.
     Idempotent,
-    /// Repeats are dropped within `scope`, for `window` from the sending of the attempt.
+    /// Servers within `scope` drop repeats for `window` after an attempt was sent.
     Deduplicated {
-        /// Where repeats are dropped.
+        /// The servers that drop repeats.
         scope: Scope,
-        /// For how long.
+        /// How long repeats are dropped, counted from the sending of the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
     AtMostOnce,
 }
 
-/// A class of requests.
+/// A class of requests with the same objectives and retry rules.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full value.
+    /// The time from arrival within which an answer earns its full value.
     pub latency_objective: Micros,
-    /// The value of one answer within the latency objective.
+    /// The value of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The share of that value that an answer after the latency objective still earns.
+    /// The share of [`Class::priority_weight`] that an answer after the latency objective earns.
     pub late_value_share: f64,
-    /// Whether a request may be retried once an attempt may have run.
+    /// Whether requests of this class may be repeated once an attempt may have run.
     pub effect: Effect,
-    /// The share of the origin's congestion window that requests of this class may use; 1 for all of it.
+    /// The share of the origin's congestion window that requests of this class may use, up to 1.
     pub window_share: f64,
 }
 
-/// A tenant.
+/// A tenant whose requests are counted against a quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that count as within its quota.
+    /// The tenant's quota in requests per second, summed over all proxies.
     pub quota_per_s: f64,
 }
 
-/// How the endpoint list reaches the proxy.
+/// How the proxy receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Discovery sends changes without being asked.
     Pushed,
-    /// Changes arrive after [`Action::Watch`]. A proxy that has not called discovery for `poll_interval` is
-    /// held to know all that was listed by then.
+    /// Discovery sends changes after [`Action::Watch`]. A proxy that has made no call to discovery for
+    /// `poll_interval` is expected to know every change listed before that.
     OnRequest {
-        /// The longest time without a watch or a call.
+        /// The longest time without a watch or a call to discovery.
         poll_interval: Micros,
     },
 }
 
-/// What a fleet allows and promises; handed over once, at the start.
+/// The configuration of a fleet. Fixed for the lifetime of a router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many proxies share the fleet, this one included.
+    /// The number of proxies of the fleet, including this one.
     pub proxies: u32,
-    /// The request classes, by [`Request::class`].
+    /// The request classes, indexed by [`Request::class`].
     pub classes: Vec<Class>,
-    /// The tenants, by [`Request::tenant`]; empty where there are none.
+    /// The tenants, indexed by [`Request::tenant`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The value of a request over its tenant's quota, as a share of the class's value.
+    /// The value of a request beyond its tenant's quota, as a share of its class's value.
     pub over_quota_weight: f64,
-    /// The kind of server that is the origin; `None` where the caches fetch for themselves.
+    /// The [`Endpoint::kind`] of origin servers; `None` if the caches fetch missing values themselves.
     pub origin_kind: Option<u32>,
-    /// How the endpoint list arrives.
+    /// How the proxy receives the endpoint list.
     pub discovery: Discovery,
-    /// Whether a listed size changes with the load of the moment.
+    /// Whether listed sizes vary with the current load. If so, the router uses the largest size seen for a
+    /// server.
     pub sizes_are_live: bool,
-    /// The most attempts for one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether a request may be hedged: two attempts of it outstanding at once.
+    /// Whether hedged requests are allowed, that is, two outstanding attempts of one request.
     pub hedging: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether the router may cancel attempts.
     pub may_cancel: bool,
-    /// The longest Retry-After that clients heed; 0 where they get none.
+    /// The upper bound on Retry-After; 0 if clients get no Retry-After.
     pub max_retry_after: Micros,
-    /// The most requests that the proxy may have in flight.
+    /// The maximum number of requests in flight at this proxy.
     pub max_in_flight: u32,
-    /// The share of its full capacity that a server has when it starts, at the least.
+    /// The minimum share of its full capacity that a server has right after it starts.
     pub initial_capacity_share: f64,
-    /// The time after its start within which a server warms up to its full capacity.
+    /// How long a server takes to warm up from `initial_capacity_share` to its full capacity.
     pub warmup: Micros,
-    /// Sent more than this many times its capacity of the moment, a warming server is overloaded and fails.
+    /// A warming server fails when its load exceeds its current capacity by more than this factor.
     pub overload_multiple: f64,
-    /// The time over which that is measured.
+    /// The time over which that load is measured.
     pub overload_window: Micros,
 }
 
 impl Settings {
-    /// The class of a request; `None` if the settings do not know it.
+    /// Returns the class of a request, or `None` if it is not in the settings.
     pub(crate) fn class_of(&self, request: &Request) -> Option<&Class> {
         request.class.and_then(|class| self.classes.get(class as usize))
     }
 }
 
-/// What the endpoint list says of a server.
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// In service.
     Serving,
-    /// Draining: it finishes its work and takes nothing new.
+    /// Finishes its current work and must get no new attempts.
     Draining,
-    /// Gone.
+    /// Removed from the list; must get no new attempts.
     Gone,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server.
+    /// The server that this entry describes.
     pub server: ServerId,
-    /// Its kind.
+    /// The kind of server; see [`Settings::origin_kind`].
     pub kind: u32,
-    /// Its zone.
+    /// The zone that the server runs in.
     pub zone: u32,
-    /// Its cell.
+    /// The cell that the server belongs to.
     pub cell: u32,
-    /// Its capacity relative to the other servers'.
+    /// The server's capacity relative to other servers.
     pub size: f64,
-    /// When it last started; 0 for long ago.
+    /// When the server process started; 0 if it was running before the clock started. A new value means a new
+    /// process.
     pub started_at: Micros,
-    /// Its state.
+    /// Whether the server takes new attempts.
     pub state: ServerState,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number.
+    /// The id of the request, unique within one router instance.
     pub id: RequestId,
-    /// Its class; `None` if the settings do not know it, and then it is never repeated.
+    /// The index of its class; `None` if the settings do not contain it. Such a request is never repeated
+    /// once an attempt may have run.
     pub class: Option<u32>,
-    /// Its tenant, if the settings know it.
+    /// The index of its tenant, if the settings contain it.
     pub tenant: Option<u32>,
-    /// What it is about.
+    /// The hash of the key that it reads or writes, if any.
     pub key: Option<Key>,
-    /// The group that a layer of limits puts its key into; 0 for none. The host asks
-    /// [`crate::Decide::group`].
+    /// The group that a limits layer assigns to the key, as returned by [`crate::Decide::group`]; 0 for none.
     pub group: u32,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// When the client gives up; the final answer must have gone out by then.
+    /// The time by which the final answer must have been sent.
     pub deadline: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered; the answer has gone to the client.
+    /// The reply was delivered to the client.
     Ok,
-    /// Answered with an error; it may have run.
+    /// The server replied with an error. The attempt may have run.
     Error,
-    /// Rejected unseen; it never ran.
+    /// The server rejected the attempt before processing it. The attempt never ran.
     Rejected,
-    /// No answer in time; it may have run, or may still run.
+    /// No reply arrived in time. The attempt may have run, or may still be running.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be established. The attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The attempt may have run.
     Reset,
-    /// Answered with what cannot be parsed; it may have run. The server answers, so this tells nothing
-    /// against it.
+    /// The reply could not be parsed. The attempt may have run. The server counts as reachable and healthy.
     MalformedReply,
-    /// Cancelled by the proxy; it may have run.
+    /// The proxy cancelled the attempt. The attempt may have run.
     Cancelled,
-    /// Never sent; it never ran.
+    /// The attempt was not sent, and never ran.
     NotSent,
-    /// Nothing is stored there for the key; it never ran.
+    /// The cache has no value for the key. The attempt never ran.
     Miss,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Returns whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 }
 
-/// What has happened.
+/// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The full endpoint list; servers that it lacks are gone.
+    /// A full endpoint list. Servers that it does not contain are gone.
     EndpointList(&'a [Endpoint]),
-    /// Changes to the endpoint list.
+    /// Changed entries of the endpoint list. Other servers are unchanged.
     EndpointUpdate(&'a [Endpoint]),
     /// A call to discovery failed, or the watch ended.
     DiscoveryError,
-    /// A request has arrived; one final answer is owed.
+    /// A request arrived. It gets exactly one final answer unless its client leaves first.
     Arrived(Request),
-    /// A reply has begun to be streamed to the client: no other attempt can answer it from here on.
+    /// The proxy started to stream a reply to the client, so no other attempt can answer the request.
     ReplyStarted {
-        /// The request.
+        /// The request that the reply belongs to.
         id: RequestId,
-        /// Its attempt, counted from 0 in the order of sending.
+        /// The attempt that replied, counted from 0 in the order of sending.
         attempt: u32,
-        /// How long the server took until then; `None` where nothing tells, as in [`Event::AttemptEnded`].
+        /// How long the server took to start the reply; `None` if unknown, as in [`Event::AttemptEnded`].
         took: Option<Micros>,
     },
-    /// An attempt has ended. Each [`Action::Send`] owes exactly one.
+    /// An attempt ended. The host reports exactly one end for each [`Action::Send`].
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Its attempt, counted from 0 in the order of sending.
+        /// The attempt, counted from 0 in the order of sending.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// How long the server took over it; `None` where nothing tells that from what went before, such as
-        /// the handshake that a new connection's first command pays for.
+        /// How long the server took; `None` if that cannot be separated from other delays, such as the
+        /// handshake of a new connection.
         took: Option<Micros>,
-        /// Whether the request is over, by this outcome or before it.
+        /// Whether the request is done, by this outcome or by an earlier event.
         request_done: bool,
     },
-    /// The client has left; no answer is owed any more.
+    /// The client disconnected and needs no final answer.
     ClientLeft(RequestId),
-    /// A timer that was asked for has fired.
+    /// A timer that was set by [`Action::Timer`] fired; carries its token.
     Timer(u64),
-    /// A layer has waited long enough for the one outstanding attempt, and grants a hedged request.
+    /// A layer allows one hedged request for a read with one slow outstanding attempt.
     HedgeGranted(RequestId),
-    /// The host can wait no longer for this request: the final answer has to be given now.
+    /// The host cannot wait for this request any longer, for example during shutdown: give the final answer
+    /// now.
     AnswerNow(RequestId),
 }
 
-/// What is to be done, at once and in this order.
+/// An output of the router. The host executes actions immediately and in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server.
+    /// Send an attempt of the request to a server.
     Send {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// When to give up on this attempt.
+        /// When the host must stop waiting for the reply and report [`Outcome::Timeout`].
         give_up_at: Micros,
-        /// From then on the attempt may not begin any more, wherever it has been waiting: the client's time
-        /// is over, or the window of deduplication is.
+        /// The latest time at which the attempt may start, for example after waiting for a connection: the
+        /// client's deadline or the end of the deduplication window, whichever is earlier.
         begin_by: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Its attempt.
+        /// The attempt, counted from 0 in the order of sending.
         attempt: u32,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Send the final answer "rejected", after which the client may safely retry.
     Reject {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
-        /// The Retry-After for the client; 0 for no advice.
+        /// The Retry-After to send; 0 to send none.
         retry_after: Micros,
     },
-    /// Final answer: failed; nothing is promised about its effect.
+    /// Send the final answer "failed". The request may have taken effect.
     Fail {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
     },
-    /// Send [`Event::Timer`] with this token after so long.
+    /// Send [`Event::Timer`] with `token` after a delay.
     Timer {
-        /// How far from now.
+        /// The delay from now.
         after: Micros,
-        /// The token to hand back.
+        /// The token to return in [`Event::Timer`].
         token: u64,
     },
     /// Watch the endpoint list for changes.
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,25 +1,26 @@
-//! Routes requests: takes events, decides, and gives actions. The interface of both is in `interface.rs`.
+//! Routes requests to caches and to the origin: consumes events and returns actions, as defined in
+//! `interface.rs`.
 //!
-//! The ordinary path: a read goes to the cache that placement names for its key; a miss, and every write,
-//! goes to the origin if the congestion window has room, and is rejected at once if not. `docs/design.md`
-//! names the departures and when each acts. Each submodule has one concern and owns its state:
+//! A read goes to the cache that placement selects for its key. A miss or a write goes to the origin if the
+//! origin's congestion window has capacity, and is rejected otherwise. `docs/design.md` describes the
+//! exceptions. Each submodule owns the state of one concern:
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `dispatch` | sends attempts and gives final answers |
-//! | `attempt_results` | takes in how attempts go, and retries |
+//! | `dispatch` | sends attempts and final answers |
+//! | `attempt_results` | records the results of attempts, and retries |
 //! | `cache_selection` | chooses the cache for a read |
-//! | `admission` | what the origin's window has room for |
-//! | `tenant_quotas` | what of a tenant's requests is beyond its quota, and is rejected first |
-//! | `retries` | what a class allows after an attempt |
-//! | `congestion_window`, `normal_delay` | Equation 2 and its estimate of the normal delay |
-//! | `backends`, `placement` | records of the servers, their weights, and weighted rendezvous hashing |
-//! | `hot_keys` | over how many caches a hot key is spread |
-//! | `slow_start` | how many reads a warming cache may be sent |
+//! | `admission` | admits calls to the origin by its congestion window |
+//! | `tenant_quotas` | rejects requests beyond their tenant's quota under contention |
+//! | `retries` | which further attempts and answers a class allows |
+//! | `congestion_window`, `normal_delay` | adaptive window and its estimate of the uncongested delay |
+//! | `backends`, `placement` | server records, their weights, and weighted rendezvous hashing |
+//! | `hot_keys` | number of caches that serve a hot key |
+//! | `slow_start` | read budget of warming caches |
 //! | `outlier_detection` | ejects caches that fail or are slow |
-//! | `request_coalescing` | reads that share one fetch |
+//! | `request_coalescing` | shares one fetch among reads that miss the same key |
 //! | `discovery_schedule` | when to call discovery |
-//! | `in_flight`, `timer_token`, `random`, `snapshot` | records of requests, timers' tokens, random numbers, inspection |
+//! | `in_flight`, `timer_token`, `random`, `snapshot` | requests, timer tokens, random numbers, views |
 
 mod admission;
 mod attempt_results;
@@ -58,16 +59,16 @@
 use tenant_quotas::{QuotaDecision, TenantQuotas};
 use timer_token::RouterTimer;
 
-/// The decisions of one proxy.
+/// The routing state of one proxy. Performs no I/O and reads no clock.
 pub struct Router {
     settings: Settings,
     random: SplitMix64,
     backends: Backends,
     in_flight: BTreeMap<RequestId, InFlightRequest>,
     coalesced_fetches: CoalescedFetches,
-    /// The window on what is in flight at the origin.
+    /// Bounds the attempts in flight at the origin.
     origin_window: CongestionWindow,
-    /// The window on what is in flight at all caches together.
+    /// Bounds the attempts in flight at all caches together.
     all_caches_window: CongestionWindow,
     key_counts: KeyCounts,
     hit_rate: HitRate,
@@ -77,7 +78,7 @@
 }
 
 impl Router {
-    /// A router that holds no endpoint list yet.
+    /// Creates a router with an empty endpoint list. `seed` determines all random decisions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let origin_window = CongestionWindow::new(Target::Origin, &settings);
         Router {
@@ -96,13 +97,13 @@
         }
     }
 
-    /// The request that a timer's token speaks of. Once that request is over and nothing is outstanding for
-    /// it, the timer may be dropped: it would do nothing.
+    /// Returns the request that a timer token refers to. The host may drop the timer once that request is
+    /// done and has no outstanding attempts.
     pub fn timer_request(token: u64) -> Option<RequestId> {
         RouterTimer::request(token)
     }
 
-    /// Takes one event and appends what is to be done at once to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(endpoints) => self.apply_endpoints(now, endpoints, ListUpdate::Full, actions),
--- a/src/router/attempt_results.rs
+++ b/src/router/attempt_results.rs
@@ -1,23 +1,23 @@
-//! Takes in how attempts go: a reply that begins, an end, or silence; learns from it, and retries.
+//! Handles started replies, ended attempts and slow reads: updates windows and health, and retries.
 
 use super::congestion_window::{Completion, MEAN_SAMPLES, MIN_WINDOW, MIN_WINDOW_WHILE_DOWN};
 use super::in_flight::{Attempt, AttemptKind};
 use super::Router;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
-/// The end of an attempt, as the host tells it.
+/// The end of an attempt as reported by the host; see [`crate::Event::AttemptEnded`].
 pub(super) struct AttemptEnd {
     pub(super) id: RequestId,
     /// Counted from 0 in the order of sending.
     pub(super) attempt: usize,
     pub(super) outcome: Outcome,
-    /// How long the server took, where that can be told.
+    /// How long the server took, if known.
     pub(super) took: Option<Micros>,
-    /// Whether the request is over.
+    /// Whether the request is done.
     pub(super) request_done: bool,
 }
 
-/// Whether the outcome may mean that the server is congested or down.
+/// Returns whether the outcome can mean that the server is congested or down.
 fn is_server_failure(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -25,14 +25,14 @@
     )
 }
 
-/// Whether the server has replied, with whatever.
+/// Returns whether the server sent any reply, valid or not.
 fn is_reply(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::MalformedReply)
 }
 
 impl Router {
-    /// A reply begins to be streamed to the client: what follows is the network's and the client's time, and
-    /// holds no slot of a window.
+    /// Handles the start of a streamed reply. The attempt frees its window slot, since the remaining time
+    /// depends on the network and the client.
     pub(super) fn reply_started(
         &mut self,
         now: Micros,
@@ -61,9 +61,8 @@
         }
     }
 
-    /// A read that its cache has not answered for long. A server that takes requests and never answers must
-    /// be noticed while it lasts, not when the client has given up. `hedge_granted` is a layer's leave to
-    /// send a hedged request; unasked none is sent, for they cost more than they saved.
+    /// Handles a read that its cache has not answered for a while, so that a server that accepts requests
+    /// without answering is detected before they time out. Sends a hedged request only if a layer granted it.
     pub(super) fn handle_slow_read(
         &mut self,
         now: Micros,
@@ -91,7 +90,8 @@
         }
     }
 
-    /// An attempt has ended: learns from it, and goes on with the request and with those that waited for it.
+    /// Handles the end of an attempt: records its result, continues the request, and resumes reads that
+    /// waited for it.
     pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { id, outcome, .. } = end;
         let Some(request) = self.in_flight.get_mut(&id) else { return };
@@ -122,13 +122,13 @@
         let request = self.in_flight.get(&id);
         let fetch_restarted = request.is_some_and(|request| request.has_outstanding_coalesced_fetch());
         if let Some(fetch) = ended.coalesced_fetch.filter(|_| !fetch_restarted) {
-            // What was malformed on its way here has been stored all the same.
+            // A reply that was malformed in transit has still been stored in the cache.
             let stored = matches!(outcome, Outcome::Ok | Outcome::MalformedReply);
             self.finish_fetch(now, fetch, stored, actions);
         }
     }
 
-    /// Goes on with an open request after an attempt without a value.
+    /// Continues an open request after an attempt that returned no value.
     fn retry(
         &mut self,
         now: Micros,
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Goes on after a call to the origin that brought no value. One whose reply was malformed has been
-    /// carried out: a read finds the value where it missed, and a write that may be repeated has its receipt
-    /// given again. After a broken connection another is tried. Anything else ends the request: the origin
-    /// has trouble enough.
+    /// Continues a request after a call to the origin that returned no value. A malformed reply means that
+    /// the call was executed: a read retries the cache that missed, and a write is repeated if its class
+    /// allows. A broken or refused connection is retried. Any other outcome ends the request, so as not to
+    /// add load to the origin.
     fn retry_origin_call(&mut self, now: Micros, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
         let request = &self.in_flight[&id];
         match outcome {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// What an attempt's end, or the beginning of its reply, tells of its server and the windows.
+    /// Updates the windows and the server's health after an attempt ended or its reply started.
     fn record_result(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome, took: Option<Micros>) {
         let failed = is_server_failure(outcome);
         let timed_out_early = self.timed_out_early(now, attempt, outcome);
@@ -183,8 +183,8 @@
         let unreachable = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let min_window = if unreachable { MIN_WINDOW_WHILE_DOWN } else { MIN_WINDOW };
         let conclusive = !timed_out_early && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent);
-        // What counts is the server's own time, where it can be told: large values and new connections must
-        // not pass for congestion. A time-out took as long as was waited.
+        // Use the server's own time if known, so that large values and connection setup do not count as
+        // congestion. For an attempt without a reply, use the time waited.
         let replied = is_reply(outcome);
         let completion = Completion {
             sent_at: attempt.sent_at,
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Whether a time-out came so early that it says nothing: what a client with next to no time left did not
-    /// wait for was not slow yet.
+    /// Returns whether a timeout occurred before the attempt could be considered slow, because the client's
+    /// deadline was short.
     fn timed_out_early(&self, now: Micros, attempt: &Attempt, outcome: Outcome) -> bool {
         let min_wait = match attempt.kind {
             AttemptKind::OriginCall => self.origin_window.delay_limit(MEAN_SAMPLES),
@@ -219,11 +219,11 @@
         outcome: Outcome,
         completion: Completion,
     ) {
-        // A miss takes a cache next to no time: it frees the slot and teaches nothing.
+        // A miss is fast for any cache, so its delay says nothing about congestion.
         let conclusive = completion.conclusive && outcome != Outcome::Miss;
         let completion = Completion { conclusive, ..completion };
         self.backends[attempt.backend].window.record_completion(now, completion);
-        // Over all caches one breach is one slow answer among many.
+        // For the window over all caches, a congestion signal of one cache counts as one slow answer.
         let limit = self
             .all_caches_window
             .delay_limit(MEAN_SAMPLES)
@@ -248,7 +248,7 @@
         if is_reply(outcome) {
             health.record_answered(attempt.sent_at);
         }
-        // One silent connection must not have a cache passed over that has answered what was sent later.
+        // If the cache has answered attempts sent later, only the connection of this one stalled.
         let only_connection_stalled =
             outcome == Outcome::Timeout && health.has_answered_since(attempt.sent_at);
         if conclusive && !only_connection_stalled {
--- a/src/router/backends.rs
+++ b/src/router/backends.rs
@@ -1,4 +1,4 @@
-//! The record of each server, the fleet's endpoint list, and the weights that placement goes by.
+//! Server records, the endpoint list, and the weights used by placement.
 
 use super::congestion_window::{CongestionWindow, Target};
 use super::outlier_detection::Health;
@@ -8,29 +8,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// The least time between two computations of the weights of a small fleet, in microseconds: a warming cache
-/// gains a little weight in each.
+/// The minimum time between two weight updates of a fleet of up to [`SERVERS_PER_UPDATE_INTERVAL`] servers.
 const WEIGHT_UPDATE_INTERVAL: Micros = 100_000;
-/// A fleet of more servers is weighed less often in proportion: it takes the same time however many there
-/// are.
+/// The update interval grows by [`WEIGHT_UPDATE_INTERVAL`] for each this many servers, to bound the CPU time.
 const SERVERS_PER_UPDATE_INTERVAL: u64 = 256;
-/// The least size that a listed server counts with.
+/// The minimum size assumed for a listed server.
 const MIN_SIZE: f64 = 1e-3;
 
-/// The place of a server's record.
+/// The index of a server's record.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct BackendIndex(usize);
 
-/// Whether an update names all servers or the changed ones alone.
+/// Whether an update contains all servers or only changed ones.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListUpdate {
-    /// Servers that it lacks are gone.
+    /// Servers that the update does not contain are gone.
     Full,
-    /// Servers that it lacks are unchanged.
+    /// Servers that the update does not contain are unchanged.
     Incremental,
 }
 
-/// What is known of one server.
+/// The state kept for one server.
 pub(super) struct Backend {
     pub(super) endpoint: Endpoint,
     pub(super) health: Health,
@@ -38,9 +36,9 @@
     pub(super) slow_start: SlowStartBudget,
     /// Attempts that have not ended.
     pub(super) outstanding: u32,
-    /// Attempts of in-flight requests that name it: its record is another's only once there are none.
+    /// Attempts of in-flight requests that refer to this record. It can be reused only if there are none.
     references: u32,
-    /// Its weight in placement: its size by its share of its full capacity; 0 if it takes no reads.
+    /// Its placement weight: size multiplied by the current share of full capacity; 0 if it takes no reads.
     pub(super) weight: f64,
 }
 
@@ -65,13 +63,12 @@
         slow_start::capacity_share(settings, self.endpoint.started_at, now) < 1.0
     }
 
-    /// Notes that an attempt has been sent.
     pub(super) fn record_sent(&mut self) {
         self.outstanding += 1;
         self.references += 1;
     }
 
-    /// Notes that a request is forgotten one of whose attempts was sent here.
+    /// Releases the reference of an attempt whose request has been removed.
     pub(super) fn release_reference(&mut self) {
         self.references -= 1;
     }
@@ -81,7 +78,7 @@
     }
 
     fn update(&mut self, now: Micros, endpoint: &Endpoint, settings: &Settings) {
-        // A new start is a new process: what was learnt of the old one is void.
+        // A new start time means a new process, so statistics of the old one do not apply.
         if endpoint.started_at != self.endpoint.started_at {
             self.health = Health::default();
             self.window.reset_for_new_process(settings);
@@ -89,7 +86,7 @@
         }
         let size = self.endpoint.size;
         self.endpoint = endpoint.clone();
-        // A size that follows the load of the moment counts by its peak, or keys would move with every list.
+        // Use the peak of sizes that vary with load, or keys would move with every list.
         if settings.sizes_are_live {
             self.endpoint.size = size.max(endpoint.size);
         }
@@ -104,7 +101,7 @@
     }
 }
 
-/// All servers that are listed, or that an attempt of an in-flight request names.
+/// All servers that are listed or referred to by an attempt of an in-flight request.
 #[derive(Default)]
 pub(super) struct Backends {
     records: Vec<Backend>,
@@ -130,7 +127,7 @@
 }
 
 impl Backends {
-    /// Takes an endpoint list, or changes to it.
+    /// Applies a full endpoint list or an incremental update.
     pub(super) fn apply(
         &mut self,
         now: Micros,
@@ -153,7 +150,7 @@
         }
     }
 
-    /// Computes the weights and the placement table anew.
+    /// Recomputes the weights and the placement table.
     pub(super) fn update_weights(&mut self, now: Micros, settings: &Settings) {
         self.weights_updated_at = now;
         self.total_weight = 0.0;
@@ -168,40 +165,40 @@
         self.origins = origins.map(|(i, _)| BackendIndex(i)).collect();
     }
 
-    /// Whether the weights are old enough to be computed anew.
+    /// Returns whether the weights are due for an update.
     pub(super) fn weights_are_stale(&self, now: Micros) -> bool {
         let interval =
             WEIGHT_UPDATE_INTERVAL * (self.records.len() as u64).div_ceil(SERVERS_PER_UPDATE_INTERVAL);
         now.saturating_sub(self.weights_updated_at) >= interval
     }
 
-    /// The caches for a key, best first.
+    /// Returns the caches for a key, best first.
     pub(super) fn rank(&self, key: Key) -> Vec<BackendIndex> {
         self.placement.rank(key)
     }
 
-    /// The origin's instance that is in service with the fewest attempts outstanding.
+    /// Returns the serving origin server with the fewest outstanding attempts.
     pub(super) fn origin(&self) -> Option<BackendIndex> {
         let serving = self.origins.iter().copied().filter(|&index| self[index].is_serving());
         serving.min_by_key(|&index| self[index].outstanding)
     }
 
-    /// Caches that take reads.
+    /// Returns the number of caches that take reads.
     pub(super) fn cache_count(&self) -> usize {
         self.placement.len()
     }
 
-    /// The weight of all caches that take reads.
+    /// Returns the sum of the weights of all caches that take reads.
     pub(super) fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// The share of all reads that a cache has by its weight; `None` if there is no weight.
+    /// Returns a cache's share of the total weight; `None` if the total weight is 0.
     pub(super) fn fair_share(&self, index: BackendIndex) -> Option<f64> {
         (self.total_weight > 0.0).then(|| self[index].weight / self.total_weight)
     }
 
-    /// All records, those of servers that are gone included.
+    /// Iterates over all records, including those of gone servers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.records.iter()
     }
@@ -214,8 +211,8 @@
         self.records.len()
     }
 
-    /// Records of servers that are gone for good: without reuse there would be one for every server that ever
-    /// was.
+    /// Returns the records that new servers can reuse, so that the number of records does not grow with every
+    /// replaced server.
     fn reusable_records(&self, endpoints: &[Endpoint]) -> Vec<BackendIndex> {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unused = |backend: &Backend| {
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -1,5 +1,5 @@
-//! Chooses the cache for a read: the best-ranked one that may take it, or for a hot key the least busy of a
-//! few.
+//! Chooses the cache for a read: the best-ranked cache that may take it, or the least loaded replica of a hot
+//! key.
 
 use super::backends::BackendIndex;
 use super::hot_keys::EPOCH_LENGTH;
@@ -9,20 +9,20 @@
 use super::Router;
 use crate::interface::{Key, Micros, RequestId};
 
-/// The least total weight that a share is taken of: keeps it finite.
+/// Lower bound on the total weight, to avoid division by zero.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// Where a read may go.
+/// The result of selecting a cache for a read.
 pub(super) enum Selection {
-    /// To this cache.
+    /// Send the read to this cache.
     Cache(BackendIndex),
-    /// Nowhere now: the caches that may hold the key have all that they can take.
+    /// Reject the read: the caches that may have the key are at capacity.
     Overloaded,
-    /// To the origin, if that has capacity: there is no cache to ask.
+    /// Send the read to the origin if it has capacity: no cache can take it.
     NoCache,
 }
 
-/// The caches that a read has been to.
+/// The caches that a read has already been sent to.
 struct ReadHistory {
     tried: Vec<BackendIndex>,
     rejected_by: Vec<BackendIndex>,
@@ -40,66 +40,65 @@
         }
     }
 
-    /// Whether it need not be asked again. The cache that missed the key may have it by now.
+    /// Returns whether the cache need not be tried again. A cache that missed may have the key by now.
     fn excludes(&self, cache: BackendIndex) -> bool {
         self.tried.contains(&cache) && self.missed_at != Some(cache)
     }
 }
 
-/// A candidate and how busy it is for its weight.
+/// A candidate cache and its load relative to its weight.
 struct CacheLoad {
     load: f64,
     cache: BackendIndex,
 }
 
-/// The state of one search through the ranking of a key.
+/// The state of one search through a key's ranking.
 struct Search {
     history: ReadHistory,
     /// The best-ranked cache.
     first: BackendIndex,
-    /// Caches that may hold the key.
+    /// The number of caches that may have the key.
     replica_count: usize,
     allow_trial: bool,
-    /// Whether this proxy reads from one cache so seldom that its delays tell little.
+    /// Whether this proxy reads from each cache too rarely for delays of a single cache to be useful.
     sparse: bool,
-    /// Whether the origin could take some of the load.
+    /// Whether at least half of the origin's window is free.
     origin_half_free: bool,
-    /// Caches considered that could hold the key.
+    /// The number of evaluated caches that may have the key.
     considered: usize,
-    /// Whether one of those had all that it can take.
+    /// Whether one of them was at capacity.
     overloaded: bool,
-    /// Warming caches whose budget was spent.
+    /// The number of warming caches whose slow-start budget denied the read.
     slow_start_denials: usize,
     best: Option<CacheLoad>,
 }
 
 impl Search {
-    /// Whether enough caches were considered. A key that only an overloaded cache holds moves to the next
-    /// rank while the origin's window is at most half used, and is rejected otherwise: it must not take the
-    /// origin along.
+    /// Returns whether enough caches were evaluated. If all replicas are at capacity, one further rank is
+    /// tried only while at least half of the origin's window is free; otherwise its misses would overload the
+    /// origin.
     fn is_complete(&self) -> bool {
         self.considered > self.replica_count
             || self.considered == self.replica_count && (self.best.is_some() || !self.origin_half_free)
     }
 
-    /// The same after a cache that has rejected the read: it is as overloaded as one without a slot.
+    /// Like [`Search::is_complete`], for a cache that rejected the read before and so counts as at capacity.
     fn is_complete_after_rejection(&self) -> bool {
         self.considered > self.replica_count
             || self.considered == self.replica_count && !self.origin_half_free
     }
 }
 
-/// How a search goes on after one cache.
+/// How a search continues after one cache.
 enum Step {
     Next,
     Stop,
-    /// The read is a trial request to this cache.
+    /// Select this cache, as a trial request.
     Trial,
 }
 
 impl Router {
-    /// Chooses the cache for a read. `trials_allowed` says whether it may be a trial request to an ejected
-    /// one.
+    /// Chooses the cache for a read. `allow_trial` permits a trial request to an ejected cache.
     pub(super) fn select_cache(&mut self, now: Micros, id: RequestId, allow_trial: bool) -> Selection {
         let request = &self.in_flight[&id];
         let key = request.request.key.unwrap_or_else(|| mix64(id));
@@ -129,8 +128,8 @@
         self.finish_selection(now, &ranking, &search)
     }
 
-    /// Whether this proxy reads from one cache so seldom that delays of it never come together while they are
-    /// news.
+    /// Returns whether this proxy reads from each cache too rarely to get
+    /// [`super::congestion_window::MIN_SAMPLES`] delays of one within an epoch.
     pub(super) fn reads_are_sparse(&self) -> bool {
         self.all_caches_window.demand_is_sparse(self.backends.cache_count(), EPOCH_LENGTH)
     }
@@ -140,7 +139,7 @@
         self.key_counts.replica_count(key, fair_share, self.reads_are_sparse(), self.backends.cache_count())
     }
 
-    /// Looks at one cache of the ranking.
+    /// Evaluates one cache of the ranking.
     fn evaluate_cache(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
         if search.history.excludes(cache) {
             if search.history.rejected_by.contains(&cache) {
@@ -155,8 +154,8 @@
         if self.backends[cache].health.is_ejected() {
             return self.evaluate_trial(now, cache, search);
         }
-        // Only its first warming caches are asked for a key: from budgets that all keys draw on, every cache
-        // would have a little of all keys, and keep none of them long.
+        // Limit a key to its first warming caches. Otherwise every warming cache would get a few reads of
+        // every key and keep none of them cached.
         if self.is_warming_up(cache, now)
             && (search.slow_start_denials >= search.replica_count || !self.slow_start_admits(now, cache))
         {
@@ -172,13 +171,13 @@
         }
     }
 
-    /// Whether a read is a trial request to an ejected cache; that must have been its first choice.
+    /// Selects an ejected cache for a trial request if it is the best-ranked cache and a trial is due.
     fn evaluate_trial(&mut self, now: Micros, cache: BackendIndex, search: &Search) -> Step {
         let due = self.backends[cache].health.is_trial_due(now);
         if !search.allow_trial || cache != search.first || !due {
             return Step::Next;
         }
-        // A trial is no exception to what a warming cache can bear.
+        // Trial requests to a warming cache count against its slow-start budget.
         if self.is_warming_up(cache, now) && !self.slow_start_admits(now, cache) {
             return Step::Next;
         }
@@ -186,12 +185,12 @@
         Step::Trial
     }
 
-    /// Keeps a cache as the choice if it has a slot and is the least busy so far.
+    /// Makes a cache the current choice if it has capacity and the lowest load so far.
     fn evaluate_load(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) {
         self.backends[cache].window.record_demand(now);
         let backend = &self.backends[cache];
-        // Where no proxy asks one cache twice in seconds, only the window over all caches can tell that they
-        // are congested.
+        // With sparse reads, a cache without recent delays is used only while the window over all caches has
+        // capacity.
         let has_usable_samples = !search.sparse
             || backend.window.has_recent_samples(now)
             || self.all_caches_window.has_capacity(now, 1.0);
@@ -209,8 +208,8 @@
         if let Some(best) = &search.best {
             return Selection::Cache(best.cache);
         }
-        // The origin's window tells what it has room for. A fleet that rejected what the origin could serve
-        // would be held in that state by the rejected requests that come again.
+        // Leave the decision to the origin's window: rejecting reads that the origin could serve would keep
+        // the caches cold, since rejected reads are retried.
         let never_rejected = search.history.rejected_by.is_empty();
         if search.slow_start_denials > 0 || search.overloaded && never_rejected && search.origin_half_free {
             return Selection::NoCache;
@@ -218,7 +217,7 @@
         if search.overloaded {
             return Selection::Overloaded;
         }
-        // With every cache ejected or tried, a wrong judgement must not leave none to ask.
+        // If every cache is ejected or was tried, fall back to the best-ranked warm cache that was not tried.
         let untried = |cache: &BackendIndex| !search.history.tried.contains(cache);
         let warm = |cache: &BackendIndex| !self.is_warming_up(*cache, now);
         let fallback = ranking.iter().copied().find(|cache| untried(cache) && warm(cache));
@@ -229,7 +228,7 @@
         self.backends[cache].is_warming_up(&self.settings, now)
     }
 
-    /// Whether the slow-start budget of a warming cache admits one more read.
+    /// Returns whether the slow-start budget of a warming cache admits one more read.
     fn slow_start_admits(&mut self, now: Micros, cache: BackendIndex) -> bool {
         let total_weight = self.backends.total_weight().max(MIN_TOTAL_WEIGHT);
         let read_rate = self.all_caches_window.demand_rate();
--- a/src/router/congestion_window.rs
+++ b/src/router/congestion_window.rs
@@ -1,8 +1,7 @@
-//! The adaptive window that bounds what this proxy has in flight at the origin, at one cache, or at all
-//! caches.
+//! An adaptive window that bounds the attempts in flight at the origin, at one cache, or at all caches.
 //!
-//! The window follows "Supply Quality Service VoIP through Call Signaling Overload Control" (Alabbas and
-//! Hosseini Seno), whose Equation 2 adapts the window `W` at each completion:
+//! Implements Equation 2 of "Supply Quality Service VoIP through Call Signaling Overload Control" (Alabbas
+//! and Hosseini Seno), which adapts the window `W` at each completion:
 //!
 //! ```text
 //! if mean(last k delays) >= CCT_estimation + alpha:   threshold = W / 2,  W = 1
@@ -11,99 +10,96 @@
 //! ```
 //!
 //! `CCT_estimation` is the normal delay ([`NormalDelay`]), and `alpha` an allowance for its variance.
-//! Departures from the paper: `W` may fall below one, and then spaces sends in time; the window of a single
-//! cache is halved instead of cut to one; and the window over all caches goes by the median delay.
-//! `docs/design.md` says when each acts.
+//! Differences from the paper: `W` may fall below one, which spaces out attempts in time; the window of a
+//! single cache is halved instead of cut to one; the window over all caches uses the median delay instead of
+//! the mean.
 
 use super::normal_delay::NormalDelay;
 use crate::interface::{Micros, Settings};
 use std::collections::VecDeque;
 
-/// k of Equation 2, in samples: enough to average out single slow attempts, few enough to see congestion
-/// early.
+/// The number `k` of delays that Equation 2 averages.
 pub(super) const MEAN_SAMPLES: usize = 8;
-/// A mean of fewer samples than this decides nothing: right after a cut there is only noise.
+/// The minimum number of delays for a decision; fewer are dominated by noise.
 pub(super) const MIN_SAMPLES: usize = 4;
-/// alpha as a share of `CCT_estimation`: our reading of the paper's 1/2.
+/// Lower bound on `alpha`, as a share of `CCT_estimation`.
 const ALPHA_DELAY_SHARE: f64 = 0.5;
-/// alpha is at least so many deviations of the mean of k normal delays: chance alone seldom goes that far.
+/// Lower bound on `alpha`, in standard deviations of the mean of `k` normal delays.
 const ALPHA_DEVIATIONS: f64 = 3.0;
-/// alpha is at least this share of what the latency objective leaves beyond `CCT_estimation`, for all but a
-/// single cache: a fetch is the last step, and a delay within the objective does no harm. A cache's read may
-/// still have to go on to the origin.
+/// Lower bound on `alpha`, as a share of the difference between latency objective and `CCT_estimation`. Does
+/// not apply to a single cache, whose read may still have to go to the origin within the objective.
 const ALPHA_SLACK_SHARE: f64 = 0.5;
-/// The first window, in attempts: doubling from one would take the first three round trips of a start.
+/// The initial window, in attempts.
 const INITIAL_WINDOW: f64 = 8.0;
-/// The first threshold, in attempts: slow start may double the first window once before it turns careful.
+/// The initial slow start threshold, in attempts.
 const INITIAL_THRESHOLD: f64 = 16.0;
-/// The least window, in attempts: one in so many normal delays.
+/// The minimum window, in attempts: one attempt per 64 normal delays.
 pub(super) const MIN_WINDOW: f64 = 1.0 / 64.0;
-/// The least window after a breach by refused or reset connections, in attempts: an attempt at a server that
-/// is down congests nothing.
+/// The minimum window after a cut by refused or reset connections, in attempts. Attempts at a server that is
+/// down do not congest it.
 pub(super) const MIN_WINDOW_WHILE_DOWN: f64 = 1.0 / 4.0;
-/// Weight of the newest gap between two demands for capacity.
+/// Weight of the newest sample in the mean interval between demands.
 const DEMAND_GAP_GAIN: f64 = 0.125;
-/// Age in microseconds at which a delay says nothing any more: the state of a server changes within seconds.
+/// Older delays are ignored, since the state of a server changes within seconds.
 const MAX_SAMPLE_AGE: Micros = 4_000_000;
-/// The least Retry-After in microseconds: none at all would tell the client nothing.
+/// The minimum Retry-After, so that a rejected client always gets a delay.
 const MIN_RETRY_AFTER_US: f64 = 1_000.0;
-/// The latency objective in microseconds where there are no classes to state one.
+/// The latency objective if the settings contain no classes.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 1_000_000;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a window bounds the attempts at.
+/// The servers whose attempts a window bounds.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Target {
     /// The origin.
     Origin,
-    /// One cache.
+    /// A single cache.
     Cache,
     /// All caches together.
     AllCaches,
 }
 
-/// A delay and when it was reported.
+/// A delay and the time at which it was recorded.
 struct DelaySample {
     at: Micros,
     delay: f64,
 }
 
-/// What the end of an attempt tells its window.
+/// The end of an attempt as seen by its window.
 #[derive(Clone, Copy)]
 pub(super) struct Completion {
     /// When the attempt was sent.
     pub(super) sent_at: Micros,
     /// How long the server took.
     pub(super) delay: Micros,
-    /// Set if the outcome alone is a breach: the least window that the cut may leave.
+    /// If the outcome alone signals congestion, the minimum window that the cut may leave.
     pub(super) forced_cut_floor: Option<f64>,
-    /// Whether the delay and the breach say anything about the server.
+    /// Whether the delay and the outcome say anything about the server.
     pub(super) conclusive: bool,
 }
 
 /// A window on attempts in flight.
 pub(super) struct CongestionWindow {
     target: Target,
-    /// W, in attempts.
+    /// `W`, in attempts.
     size: f64,
-    /// Where slow start ends, in attempts.
+    /// The window at which slow start ends, in attempts.
     threshold: f64,
     in_flight: u32,
     max_size: f64,
-    /// The strictest latency objective of all classes, in microseconds.
+    /// The lowest latency objective of all classes, in microseconds.
     latency_objective: f64,
     /// The latest delays since the last cut.
     samples: VecDeque<DelaySample>,
-    /// When the latest [`MIN_SAMPLES`] delays were reported, cut or not.
+    /// When the latest [`MIN_SAMPLES`] delays were recorded, including delays before a cut.
     reported_at: VecDeque<Micros>,
     normal_delay: NormalDelay,
     last_cut_at: Micros,
     last_sent_at: Micros,
-    /// When capacity was last asked for, and the mean time between two such demands.
     last_demand_at: Micros,
+    /// The mean interval between demands for capacity, in microseconds; 0 before the second one.
     mean_demand_gap: f64,
-    /// The share of the latest attempts, about [`MEAN_SAMPLES`] of them, that failed.
+    /// Moving average of the share of failed attempts, over about [`MEAN_SAMPLES`] attempts.
     failure_share: f64,
 }
 
@@ -129,13 +125,13 @@
         }
     }
 
-    /// Forgets what was learnt of the process that has been replaced; what is in flight stays counted.
+    /// Resets all statistics for a restarted process, except for the number of attempts in flight.
     pub(super) fn reset_for_new_process(&mut self, settings: &Settings) {
         let in_flight = self.in_flight;
         *self = CongestionWindow { in_flight, ..CongestionWindow::new(self.target, settings) };
     }
 
-    /// W, in attempts.
+    /// Returns `W`, in attempts.
     pub(super) fn size(&self) -> f64 {
         self.size
     }
@@ -152,13 +148,13 @@
         self.last_cut_at
     }
 
-    /// `CCT_estimation`, once known.
+    /// Returns `CCT_estimation` in microseconds, once there are enough samples.
     pub(super) fn normal_delay(&self) -> Option<f64> {
         self.normal_delay.estimate()
     }
 
-    /// Whether one more attempt fits into this share of the window. A window below one spaces sends in time:
-    /// one in each `CCT_estimation / W`.
+    /// Returns whether one more attempt fits into `share` of the window. A window below one admits one
+    /// attempt per `CCT_estimation / W`.
     pub(super) fn has_capacity(&self, now: Micros, share: f64) -> bool {
         if self.size < 1.0 {
             let delay = self.normal_delay().unwrap_or(self.latency_objective).min(self.latency_objective);
@@ -168,12 +164,12 @@
         f64::from(self.in_flight) + 1.0 <= (self.size * share).max(1.0)
     }
 
-    /// Whether one more attempt would leave half of the window unused.
+    /// Returns whether at most half of the window would be in use after one more attempt.
     pub(super) fn is_half_free(&self) -> bool {
         f64::from(self.in_flight) + 1.0 <= self.size / 2.0
     }
 
-    /// Notes that capacity is asked for, whether there is any or not.
+    /// Records a demand for capacity, whether or not it is admitted.
     pub(super) fn record_demand(&mut self, now: Micros) {
         if self.last_demand_at > 0 {
             self.mean_demand_gap +=
@@ -182,13 +178,12 @@
         self.last_demand_at = now;
     }
 
-    /// Notes that an attempt has been sent.
     pub(super) fn record_sent(&mut self, now: Micros) {
         self.in_flight += 1;
         self.last_sent_at = now;
     }
 
-    /// Demands for capacity a second; 0 before two of them have come.
+    /// Returns the demands per second; 0 before the second demand.
     pub(super) fn demand_rate(&self) -> f64 {
         if self.mean_demand_gap > 0.0 {
             MICROS_PER_SECOND / self.mean_demand_gap
@@ -197,25 +192,25 @@
         }
     }
 
-    /// Whether demand, spread over so many servers, is too rare for [`MIN_SAMPLES`] delays of one within
-    /// `span`.
+    /// Returns whether the demand, divided among `servers`, is too low to get [`MIN_SAMPLES`] delays of one
+    /// server within `span`.
     pub(super) fn demand_is_sparse(&self, servers: usize, span: Micros) -> bool {
         self.mean_demand_gap * (servers * MIN_SAMPLES) as f64 > span as f64
     }
 
-    /// Whether enough delays are so rare that they never come together while they still say something.
+    /// Returns whether samples expire before there are [`MIN_SAMPLES`] of them.
     fn is_sparse(&self) -> bool {
         self.demand_is_sparse(1, MAX_SAMPLE_AGE)
     }
 
-    /// Whether its own delays are many and recent enough to go by.
+    /// Returns whether there are enough recent delays to rely on.
     pub(super) fn has_recent_samples(&self, now: Micros) -> bool {
         self.reported_at.len() >= MIN_SAMPLES && now <= self.reported_at[0] + MAX_SAMPLE_AGE
     }
 
-    /// `CCT_estimation + alpha`: the delay at which a mean of so many samples is a breach. `alpha` is half of
-    /// `CCT_estimation`, or more where the measured deviation or the latency objective asks for it: where
-    /// delays vary widely, half of the normal delay would be reached by chance.
+    /// Returns `CCT_estimation + alpha`: a mean of `samples` delays that reaches it is a sign of congestion.
+    /// `alpha` grows with the measured deviation, so that delays that vary widely do not cause cuts by
+    /// chance.
     pub(super) fn delay_limit(&self, samples: usize) -> Option<f64> {
         let normal = self.normal_delay()?;
         let slack_share = if self.is_shared() { ALPHA_SLACK_SHARE } else { 0.0 };
@@ -225,20 +220,20 @@
         Some(normal + alpha)
     }
 
-    /// Notes whether one more attempt failed, and says whether that failure is a breach, which it is where
-    /// most of the latest attempts failed: single failures only tell of connections that were closed as a
-    /// request went out.
+    /// Records whether an attempt failed, and returns whether that failure signals congestion: it does if
+    /// most recent attempts failed. Single failures are usually connections that closed as the request was
+    /// sent.
     pub(super) fn record_failure(&mut self, failed: bool) -> bool {
         self.failure_share += (f64::from(u8::from(failed)) - self.failure_share) / MEAN_SAMPLES as f64;
         failed && (self.failure_share > 0.5 || self.is_sparse())
     }
 
-    /// An attempt has ended: Equation 2, in its one place.
+    /// Handles the end of an attempt: applies Equation 2.
     pub(super) fn record_completion(&mut self, now: Micros, completion: Completion) {
         let in_use = f64::from(self.in_flight) >= self.size / 2.0;
         self.in_flight = self.in_flight.saturating_sub(1);
-        // What was sent before a cut tells of the time before it: it must neither cut for the same congestion
-        // again nor regrow the window.
+        // An attempt sent before the last cut must neither cut again for the same congestion nor regrow the
+        // window.
         if completion.sent_at < self.last_cut_at || !completion.conclusive {
             return;
         }
@@ -260,15 +255,15 @@
         self.grow(in_use);
     }
 
-    /// When a slot is likely to be free, as advice to a rejected client: what is over the window drains at W
-    /// attempts in a normal delay.
+    /// Returns the time until a slot is likely to be free, for a rejected client: the excess over the window
+    /// drains at `W` attempts per normal delay.
     pub(super) fn retry_after(&self) -> Micros {
         let excess = f64::from(self.in_flight) + 1.0 - self.size;
         let delay = self.normal_delay().unwrap_or(self.latency_objective);
         (delay * excess.max(1.0) / self.size).max(MIN_RETRY_AFTER_US) as Micros
     }
 
-    /// Whether all proxies together congest the target, so that W may have to fall below one.
+    /// Returns whether the target is loaded by all proxies together, so that `W` may have to fall below one.
     fn is_shared(&self) -> bool {
         self.target != Target::Cache
     }
@@ -279,9 +274,9 @@
             self.reported_at.pop_front();
         }
         self.samples.push_back(DelaySample { at: now, delay });
-        // Over all caches a window's worth of samples counts: k reads of a busy proxy are over in a moment,
-        // and it would cut on chance. Old samples go, or a proxy with little traffic would go by congestion
-        // long over.
+        // The window over all caches keeps a window's worth of samples, since `k` reads of a busy proxy cover
+        // too short a time. Expired samples are dropped, so that past congestion does not affect a proxy with
+        // little traffic.
         let all_caches = self.target == Target::AllCaches;
         let max_samples = if all_caches { MEAN_SAMPLES.max(self.size as usize) } else { MEAN_SAMPLES };
         while self.samples.len() > max_samples || self.samples[0].at + MAX_SAMPLE_AGE < now {
@@ -289,8 +284,8 @@
         }
     }
 
-    /// The mean of the samples; over all caches their median, since a few slow caches must not close that
-    /// window.
+    /// Returns the mean of the samples, or their median for the window over all caches, so that a few slow
+    /// caches do not close it.
     fn typical_delay(&self) -> f64 {
         let count = self.samples.len();
         if self.target != Target::AllCaches {
@@ -302,8 +297,8 @@
 
     fn cut(&mut self, now: Micros, floor: f64) {
         self.threshold = (self.size / 2.0).max(1.0);
-        // Hundreds of proxies may congest a server with one attempt each: where one is more than was used, or
-        // where the cut before this one did not help, half of what was used remains.
+        // Many proxies can congest a server with less than one attempt in flight each. If this proxy used
+        // less than one, or the previous cut did not help, halve what was used instead of cutting to one.
         let used = if self.is_sparse() {
             self.normal_delay().unwrap_or(self.latency_objective) / self.mean_demand_gap
         } else {
@@ -323,8 +318,8 @@
         self.normal_delay.mark_in_use();
     }
 
-    /// Above one the window grows only while it is at least half used, or quiet times would grow it without
-    /// bound.
+    /// Regrows the window. Above one it grows only while at least half used, or it would grow without bound
+    /// at low load.
     fn grow(&mut self, in_use: bool) {
         if self.size < 1.0 {
             self.size = (self.size * 2.0).min(1.0);
--- a/src/router/discovery_schedule.rs
+++ b/src/router/discovery_schedule.rs
@@ -1,12 +1,12 @@
-//! Schedules the calls to discovery: when to watch the endpoint list, and when to try again after a failure.
+//! Schedules calls to discovery: when to watch the endpoint list, and when to retry after a failure.
 
 use super::random::SplitMix64;
 use crate::interface::{Discovery, Micros};
 
-/// The first pause before discovery is called again after a failure, in microseconds.
+/// The initial backoff after a failed call to discovery.
 const INITIAL_BACKOFF: Micros = 250_000;
-/// The longest such pause, in microseconds. With half as much again as jitter and the call itself it is over
-/// within the 6 s in which a change counts as delivered.
+/// The maximum backoff. With jitter (up to half more) and the call itself, a retry completes within the 6 s
+/// in which a change counts as delivered.
 const MAX_BACKOFF: Micros = 2_000_000;
 
 /// The state of the watch on the endpoint list.
@@ -21,7 +21,7 @@
         DiscoverySchedule { discovery, watching: false, backoff: INITIAL_BACKOFF }
     }
 
-    /// A list or a change has arrived; whether a watch is to be opened now.
+    /// Records that a list or a change arrived, and returns whether to open a watch now.
     pub(super) fn record_update(&mut self) -> bool {
         self.backoff = INITIAL_BACKOFF;
         let open = !self.watching && self.discovery != Discovery::Pushed;
@@ -29,9 +29,9 @@
         open
     }
 
-    /// A call or the watch has failed; the pause until the next call, if calls are made at all. Jitter
-    /// spreads it over half to one and a half of the backoff: proxies that failed together should not call
-    /// together.
+    /// Records that a call or the watch failed, and returns the delay until the next call, or `None` if
+    /// discovery pushes changes. Jitter of plus or minus half the backoff keeps proxies from retrying in
+    /// step.
     pub(super) fn record_failure(&mut self, random: &mut SplitMix64) -> Option<Micros> {
         let Discovery::OnRequest { poll_interval } = self.discovery else { return None };
         let pause = (self.backoff as f64 * (0.5 + random.next_unit())) as Micros;
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends attempts and gives final answers: the way of a request through the router.
+//! Sends attempts and final answers.
 
 use super::admission;
 use super::backends::BackendIndex;
@@ -11,7 +11,7 @@
 use crate::interface::{Action, Micros, RequestId};
 
 impl Router {
-    /// Sends a read to its cache, or has it wait for a fetch that will bring its key there.
+    /// Sends a read to its cache, or makes it wait for a fetch in flight that stores its key there.
     pub(super) fn dispatch_read(
         &mut self,
         now: Micros,
@@ -21,7 +21,7 @@
     ) {
         let request = &self.in_flight[&id];
         let key = request.request.key;
-        // The last attempt is kept for the fetch.
+        // The last attempt is reserved for a call to the origin.
         if request.attempts_left(self.settings.max_attempts) <= 1 && self.backends.origin().is_some() {
             return self.dispatch_origin_call(now, id, actions);
         }
@@ -41,16 +41,16 @@
         actions.push(Action::Timer { after, token: RouterTimer::SlowRead(id).token() });
     }
 
-    /// Sends a miss or a write to the origin if its window has room; a miss may wait for another's fetch
-    /// instead.
+    /// Sends a miss or a write to the origin if its window has capacity. A miss may wait for another read's
+    /// fetch instead.
     pub(super) fn dispatch_origin_call(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.in_flight[&id];
         let fetch = match (request.request.write, request.request.key, request.missed_at) {
             (false, Some(key), Some(cache)) => Some(FetchKey { key, cache }),
             _ => None,
         };
-        // Who waits reads the cache afterwards, and has to fetch if the value is not there: that takes two
-        // attempts.
+        // A waiting read needs two attempts: a read of the cache after the fetch, and its own fetch if that
+        // misses.
         let attempts_left = request.attempts_left(self.settings.max_attempts);
         if attempts_left >= 2 && fetch.is_some_and(|fetch| self.join_fetch(id, fetch)) {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The origin, or the cache that fetches for itself where there is no origin.
+    /// Returns the origin server to call, or without an origin the cache that fetches the value itself.
     fn origin_call_target(&mut self, now: Micros, id: RequestId) -> Option<BackendIndex> {
         if self.settings.origin_kind.is_some() {
             return self.backends.origin();
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Sends an attempt if the rules allow it there; whether it was sent. The only place that sends.
+    /// Sends an attempt if the retry rules allow it and the target is serving; returns whether it was sent.
+    /// All attempts are sent here.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
         true
     }
 
-    /// Nothing more can be sent for now: waits for what is outstanding, or gives the final answer.
+    /// Gives the final answer unless an attempt is outstanding. Called when nothing more can be sent.
     pub(super) fn answer_unless_outstanding(
         &mut self,
         now: Micros,
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Gives the final answer to a request that could not be served, unless one has been given or has begun.
+    /// Gives the final answer to a request that could not be served, and counts it as lost for its tenant's
+    /// quota.
     pub(super) fn give_final_answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.in_flight.get(&id).filter(|request| request.awaits_answer()) {
             self.quotas.record_loss(request.quota);
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Sends the final answer, unless one has been given or has begun: a rejection where that is true, else a
-    /// failure. On its own for a host that stops, which says nothing of contention.
+    /// Sends the final answer unless one was sent or a reply has started: a rejection if it is safe to retry,
+    /// a failure otherwise. A host that shuts down calls this directly, since that is no sign of contention.
     pub(super) fn send_final_answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get(&id).filter(|request| request.awaits_answer()) else { return };
         if AttemptPermission::of(request, &self.settings, &self.backends, now).may_reject {
@@ -153,8 +155,8 @@
         self.release_if_done(id);
     }
 
-    /// Rejects a request at its arrival for its tenant's quota: no attempt was made, so that is true of every
-    /// class. The client is told to come back no sooner than a token does.
+    /// Rejects an arriving request that is beyond its tenant's quota. No attempt was sent, so a rejection is
+    /// valid for every class. Retry-After is at least the time until the next token.
     pub(super) fn reject_for_quota(
         &self,
         id: RequestId,
@@ -167,20 +169,20 @@
         actions.push(Action::Reject { id, retry_after });
     }
 
-    /// The request is over: cancels what is outstanding for it.
+    /// Marks the request as done and cancels its outstanding cache reads.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         request.done = true;
         for (n, attempt) in request.attempts.iter().enumerate() {
-            // A call goes on at the origin whatever is cancelled, and its end tells the window more than a
-            // cancellation would.
+            // The origin executes a call even if it is cancelled, and its real outcome is more useful to the
+            // window.
             if attempt.is_outstanding() && !attempt.is_origin_call() && self.settings.may_cancel {
                 actions.push(Action::Cancel { id, attempt: n as u32 });
             }
         }
     }
 
-    /// Forgets a request that is over and has nothing outstanding.
+    /// Removes a request that is done and has no outstanding attempts.
     pub(super) fn release_if_done(&mut self, id: RequestId) {
         if !self.in_flight.get(&id).is_some_and(|request| request.done && !request.has_outstanding()) {
             return;
@@ -190,13 +192,13 @@
         }
     }
 
-    /// Has a read wait for a fetch, if that is in flight.
+    /// Makes a read wait for a fetch if that is in flight; returns whether it waits.
     fn join_fetch(&mut self, id: RequestId, fetch: FetchKey) -> bool {
         let in_flight = &self.in_flight;
         self.coalesced_fetches.join(fetch, id, in_flight.len(), |id| in_flight.contains_key(&id))
     }
 
-    /// A fetch has ended: the reads that waited for it find the key in the cache, or fetch in its stead.
+    /// Handles the end of a shared fetch: the waiting reads read the cache, or fetch the value themselves.
     pub(super) fn finish_fetch(
         &mut self,
         now: Micros,
@@ -206,7 +208,8 @@
     ) {
         for id in self.coalesced_fetches.finish(fetch) {
             let Some(request) = self.in_flight.get(&id).filter(|request| !request.done) else { continue };
-            // What has not missed yet has to: the origin's answer is kept only where its request missed.
+            // A read that has not missed yet must try the cache first: the origin's reply is stored only in
+            // the cache that missed.
             if stored || request.missed_at.is_none() {
                 self.dispatch_read(now, id, false, actions);
             } else {
--- a/src/router/hot_keys.rs
+++ b/src/router/hot_keys.rs
@@ -1,17 +1,15 @@
-//! Counts reads by key, and says over how many caches a hot key is spread.
+//! Counts reads by key and computes the number of caches that serve a hot key.
 
 use crate::interface::{Key, Micros};
 use std::collections::BTreeMap;
 
-/// The least length of an epoch in which keys are counted, in microseconds: a key turns hot within a second
-/// or two.
+/// The minimum length of a counting epoch.
 pub(super) const EPOCH_LENGTH: Micros = 1_000_000;
-/// A key gets one more cache for each of these shares of a cache's fair share of all reads: beside its even
-/// share of the other keys, a cache gets half of that again from one key.
+/// A key gets one more cache for each multiple of this share of its first cache's fair share of all reads.
 const SHARE_PER_REPLICA: f64 = 0.5;
-/// Requests for a key within two epochs before its share is believed.
+/// The minimum number of reads of a key within two epochs before it counts as hot.
 const MIN_HOT_READS: u32 = 4;
-/// The same at a proxy with so little traffic that it never sees a hot key often.
+/// The same for a proxy with sparse reads.
 const MIN_HOT_READS_SPARSE: u32 = 2;
 
 /// Reads counted in one epoch.
@@ -21,12 +19,12 @@
     reads: u32,
 }
 
-/// Counts of the current epoch and the one before it.
+/// Read counts of the current and the previous epoch.
 pub(super) struct KeyCounts {
     current: Epoch,
     previous: Epoch,
     started_at: Micros,
-    /// Keys that are counted in one epoch at the most.
+    /// The maximum number of distinct keys counted per epoch.
     max_keys: usize,
 }
 
@@ -35,11 +33,11 @@
         KeyCounts { current: Epoch::default(), previous: Epoch::default(), started_at: now, max_keys }
     }
 
-    /// Begins a new epoch if the current one is long enough and has at least so many reads.
+    /// Starts a new epoch if the current one is long enough and has at least `min_reads` reads.
     pub(super) fn start_epoch_if_due(&mut self, now: Micros, min_reads: usize) {
         let enough = self.current.reads as usize >= min_reads;
         if enough && now.saturating_sub(self.started_at) >= EPOCH_LENGTH {
-            // The current epoch becomes the previous one; what that held is dropped.
+            // The current epoch becomes the previous one, whose counts are dropped.
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reads_by_key.clear();
             self.current.reads = 0;
@@ -47,7 +45,7 @@
         }
     }
 
-    /// Counts one read. A key that first comes after `max_keys` others in one epoch is not hot.
+    /// Counts a read. Keys first seen after `max_keys` others in the epoch are not counted individually.
     pub(super) fn record_read(&mut self, key: Key) {
         let keys = &mut self.current.reads_by_key;
         if keys.len() < self.max_keys || keys.contains_key(&key) {
@@ -56,9 +54,8 @@
         self.current.reads += 1;
     }
 
-    /// Over how many caches a key is spread, so that a hot key is no more than one cache can serve.
-    /// `fair_share` is the share of all reads that the key's first cache has by its weight, `sparse` whether
-    /// this proxy reads seldom.
+    /// Returns the number of caches that serve a key. `fair_share` is the share of all reads that the key's
+    /// first cache should get by its weight; `sparse` is whether this proxy has sparse reads.
     pub(super) fn replica_count(
         &self,
         key: Key,
@@ -72,11 +69,11 @@
         let min_reads = if sparse { MIN_HOT_READS_SPARSE } else { MIN_HOT_READS };
         let Some(fair_share) = fair_share.filter(|_| count >= min_reads) else { return 1 };
         let extra = f64::from(count) / f64::from(reads) / (fair_share * SHARE_PER_REPLICA);
-        // A cache that is listed with next to no size makes this huge: there are no more than all caches.
+        // A cache with a tiny size makes this value huge, so it is limited to the number of caches.
         1 + extra.min(caches as f64) as usize
     }
 
-    /// Keys counted in both epochs.
+    /// Returns the number of keys counted in both epochs.
     pub(super) fn len(&self) -> usize {
         self.current.reads_by_key.len() + self.previous.reads_by_key.len()
     }
--- a/src/router/in_flight.rs
+++ b/src/router/in_flight.rs
@@ -1,45 +1,44 @@
-//! What is held of a request until it is over and none of its attempts is outstanding.
+//! The state of a request until it is done and has no outstanding attempts.
 
 use super::backends::BackendIndex;
 use super::request_coalescing::FetchKey;
 use super::tenant_quotas::QuotaStanding;
 use crate::interface::{Micros, Outcome, Request};
 
-/// What is known of whether an attempt has run.
+/// Whether an attempt has ended and may have run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// It has not ended.
+    /// Has not ended.
     Outstanding,
-    /// It ended, and never ran.
+    /// Ended without running.
     NeverRan,
-    /// It ended, and may have run.
+    /// Ended and may have run.
     MayHaveRun,
 }
 
-/// What an attempt is for.
+/// The purpose of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptKind {
-    /// A read of a cache.
+    /// A read from a cache.
     CacheRead,
-    /// A read that missed, or a write, at the origin; where there is no origin, at a cache that fetches for
-    /// itself.
+    /// A missed read or a write at the origin; without an origin, at a cache that fetches the value itself.
     OriginCall,
 }
 
-/// One attempt at a request.
+/// An attempt of a request.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) backend: BackendIndex,
     pub(super) sent_at: Micros,
     pub(super) state: AttemptState,
     pub(super) kind: AttemptKind,
-    /// The server rejected it unseen.
+    /// Whether the server rejected it without processing it.
     pub(super) rejected: bool,
-    /// The same server may be tried again for this request.
+    /// Whether the request may be sent to the same server again.
     pub(super) retry_same_server: bool,
-    /// Its reply is being streamed to the client.
+    /// Whether its reply is being streamed to the client.
     pub(super) streaming: bool,
-    /// The fetch that others wait for, if this attempt is it.
+    /// The shared fetch that this attempt performs, if any.
     pub(super) coalesced_fetch: Option<FetchKey>,
 }
 
@@ -65,29 +64,30 @@
         self.kind == AttemptKind::OriginCall
     }
 
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended.
     pub(super) fn end(&mut self, outcome: Outcome) {
         self.rejected = outcome == Outcome::Rejected;
-        // A malformed reply, or one connection that broke, must not drive a read from the cache that holds
-        // its key to the origin. A cache that is down fails again, and the origin is asked then.
+        // A malformed reply or a single broken connection must not send a read from the cache that has its
+        // key to the origin. If the cache is down, the second attempt fails too and the read goes to the
+        // origin.
         self.retry_same_server =
             matches!(outcome, Outcome::MalformedReply | Outcome::Reset) && !self.is_origin_call();
         self.state = if outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
     }
 }
 
-/// A request that is open, or over with attempts outstanding.
+/// A request that is open, or done with outstanding attempts.
 pub(super) struct InFlightRequest {
     pub(super) request: Request,
     /// In the order of sending.
     pub(super) attempts: Vec<Attempt>,
-    /// The final answer has been given, or the client has left.
+    /// Whether the final answer was sent or the client left.
     pub(super) done: bool,
-    /// A reply is being streamed to the client.
+    /// Whether a reply is being streamed to the client.
     pub(super) streaming: bool,
-    /// The cache at which the latest miss was seen.
+    /// The cache that returned the latest miss.
     pub(super) missed_at: Option<BackendIndex>,
-    /// How it stood to its tenant's quota when it arrived.
+    /// Whether the request was within its tenant's quota on arrival.
     pub(super) quota: QuotaStanding,
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether it waits for a final answer that has not begun.
+    /// Returns whether the request still needs a final answer and no reply has started.
     pub(super) fn awaits_answer(&self) -> bool {
         !self.done && !self.streaming
     }
@@ -116,12 +116,12 @@
         self.attempts.iter().any(|attempt| attempt.is_outstanding() && attempt.is_origin_call())
     }
 
-    /// Whether others wait for one of its outstanding attempts.
+    /// Returns whether an outstanding attempt performs a shared fetch.
     pub(super) fn has_outstanding_coalesced_fetch(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_outstanding() && attempt.coalesced_fetch.is_some())
     }
 
-    /// Attempts left of so many.
+    /// Returns how many of `max_attempts` attempts are left.
     pub(super) fn attempts_left(&self, max_attempts: u32) -> usize {
         (max_attempts as usize).saturating_sub(self.attempts.len())
     }
--- a/src/router/normal_delay.rs
+++ b/src/router/normal_delay.rs
@@ -1,17 +1,17 @@
-//! Estimates the delay of a server in its normal, uncongested state: `CCT_estimation` of Equation 2.
+//! Estimates the delay of a server without congestion: `CCT_estimation` of Equation 2.
 //!
-//! The estimate follows the means of non-overlapping intervals of samples. An interval that shows a shorter
-//! delay, or that was measured while the window was less than half used, is believed quickly; a longer delay
-//! measured while the window was in use may be congestion that this proxy causes itself, and is believed
-//! slowly.
+//! The estimate is a moving average of the means of consecutive intervals of samples. It moves quickly
+//! towards a shorter delay, or towards any delay measured while the window was less than half used. It moves
+//! slowly towards a longer delay measured while the window was in use, since that may be congestion caused by
+//! this proxy.
 
 use super::congestion_window::MIN_SAMPLES;
 
-/// Samples in an interval: two full sets of the samples that Equation 2 averages.
+/// The number of samples in an interval.
 const INTERVAL_SAMPLES: u32 = 16;
-/// The share by which an interval moves the estimate where congestion of our own making is ruled out.
+/// The gain for an interval that cannot contain congestion caused by this proxy.
 const FAST_GAIN: f64 = 0.5;
-/// The share by which an interval moves the estimate where its delay may be the congestion to detect.
+/// The gain for an interval that may contain such congestion.
 const SLOW_GAIN: f64 = 1.0 / 32.0;
 
 /// The samples of the current interval.
@@ -27,9 +27,9 @@
     estimate: Option<f64>,
     deviation: f64,
     interval: Interval,
-    /// Whether the window was less than half used at each sample of the interval.
+    /// Whether the window has been less than half used during the whole interval.
     underused: bool,
-    /// The first estimate is at most this: the latency objective.
+    /// Upper bound on the first estimate.
     first_estimate_limit: f64,
 }
 
@@ -44,22 +44,22 @@
         }
     }
 
-    /// The estimate, once there have been enough samples for one.
+    /// Returns the estimate, once there are enough samples.
     pub(super) fn estimate(&self) -> Option<f64> {
         self.estimate
     }
 
-    /// The standard deviation of single delays.
+    /// Returns the standard deviation of a single delay.
     pub(super) fn deviation(&self) -> f64 {
         self.deviation
     }
 
-    /// Tells that the window was in use, or was cut, within the current interval.
+    /// Records that the window was in use, or was cut, during the current interval.
     pub(super) fn mark_in_use(&mut self) {
         self.underused = false;
     }
 
-    /// Takes one delay in.
+    /// Adds a delay to the current interval.
     pub(super) fn record(&mut self, delay: f64) {
         self.interval.sum += delay;
         self.interval.sum_of_squares += delay * delay;
@@ -80,8 +80,8 @@
                 self.deviation = deviation;
             }
             Some(estimate) => {
-                // With one gain for both, lasting congestion would raise the estimate cut by cut until no
-                // delay counted as congestion any more.
+                // With a single gain, lasting congestion would raise the estimate until it no longer counted
+                // as congestion.
                 let gain = if mean < estimate || self.underused { FAST_GAIN } else { SLOW_GAIN };
                 self.estimate = Some(estimate + gain * (mean - estimate));
                 self.deviation += gain * (deviation - self.deviation);
--- a/src/router/outlier_detection.rs
+++ b/src/router/outlier_detection.rs
@@ -1,48 +1,48 @@
-//! Outlier detection: ejects caches that fail or are far slower than the median, and lets them return after
-//! trials.
+//! Outlier detection: ejects caches that fail or are much slower than the median, and reinstates them after
+//! successful trial requests.
 //!
-//! It goes by the outcomes of this proxy's own attempts alone. An ejected cache is passed over in the choice
-//! of a cache for a read, but for a trial request from time to time.
+//! Uses only the outcomes of this proxy's own attempts. Reads skip an ejected cache, except for occasional
+//! trial requests.
 
 use super::backends::{Backend, BackendIndex, Backends};
 use crate::interface::{Micros, Outcome};
 
-/// Weight of the newest sample in a cache's averages of latency and failures: a few answers decide.
+/// Weight of the newest sample in a cache's average latency and failure share.
 const SAMPLE_GAIN: f64 = 0.25;
-/// A cache fails when more than this share of its latest attempts did.
+/// A cache is failing if more than this share of its recent attempts failed.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// What a broken connection counts beside a failure: it takes six in a row for a cache to be failing.
-/// Connections that broke must not eject a cache, since those of one that is gone are refused next.
+/// The weight of a broken connection relative to other failures: six in a row mark a cache as failing. A few
+/// broken connections must not eject a cache, and a cache that is down refuses the next connections.
 const RESET_FAILURE_WEIGHT: f64 = 0.65;
-/// A cache is slow when it takes so many times the median cache's time: beyond any mix of hardware.
+/// A cache is slow if its latency exceeds this multiple of the median; differences in hardware stay below it.
 const SLOW_LATENCY_RATIO: f64 = 3.0;
-/// Answers before a cache may be found slow.
+/// The minimum number of samples before a cache can count as slow.
 const MIN_LATENCY_SAMPLES: u32 = 3;
-/// At most this share of all weight is ejected, or the rest could not carry the load.
+/// The maximum share of the total weight that may be ejected, so that the remaining caches can carry the
+/// load.
 const MAX_EJECTED_SHARE: f64 = 0.4;
-/// The first pause before a trial request to an ejected cache, in microseconds.
+/// The delay from an ejection to the first trial request.
 const INITIAL_TRIAL_INTERVAL: Micros = 1_000_000;
-/// The longest pause between trial requests, in microseconds.
+/// The maximum delay between trial requests.
 const MAX_TRIAL_INTERVAL: Micros = 4_000_000;
-/// Good trials in a row that end an ejection.
+/// The number of consecutive successful trials that reinstate a cache.
 const TRIALS_TO_REINSTATE: u32 = 2;
-/// A read that is not answered after this share of the latency objective is late: a fetch that may still
-/// follow takes the rest.
+/// A read is late after this share of the latency objective; the rest is left for a fetch from the origin.
 const LATE_OBJECTIVE_SHARE: f64 = 0.5;
-/// Weight of the newest sample in the averages of all caches' read latency.
+/// Weight of the newest sample in the averages of the read latency over all caches.
 const READ_LATENCY_GAIN: f64 = 0.05;
-/// A read is unusually slow beyond the mean latency and so many mean deviations.
+/// A read is unusually slow if its latency exceeds the mean by this many mean deviations.
 const HIGH_LATENCY_DEVIATIONS: f64 = 4.0;
 
-/// What a cache's answers tell of it.
+/// The health of one cache, by its recent answers.
 #[derive(Default)]
 pub(super) struct Health {
-    /// The mean time of its answers, in microseconds.
+    /// Average latency of its answers, in microseconds.
     latency: f64,
     latency_samples: u32,
-    /// The share of its latest attempts that failed.
+    /// Moving average of the share of failed attempts.
     failure_share: f64,
-    /// When the newest attempt was sent that it has answered.
+    /// The latest sending time of any attempt that it answered.
     newest_answered_sent_at: Micros,
     ejected: bool,
     good_trials: u32,
@@ -55,30 +55,30 @@
         self.ejected
     }
 
-    /// The mean time of its answers, in microseconds; 0 while there are none.
+    /// Returns the average latency in microseconds; 0 without samples.
     pub(super) fn latency(&self) -> f64 {
         self.latency
     }
 
-    /// Takes in how long an answer took, or how long one has not come.
+    /// Adds the latency of an answer, or the time waited for one that is outstanding.
     pub(super) fn record_latency(&mut self, took: f64) {
         self.latency_samples += 1;
         let gain = SAMPLE_GAIN.max(1.0 / f64::from(self.latency_samples));
         self.latency += gain * (took - self.latency);
     }
 
-    /// Notes that it answered what was sent at this time.
+    /// Records an answer to an attempt sent at `sent_at`.
     pub(super) fn record_answered(&mut self, sent_at: Micros) {
         self.newest_answered_sent_at = self.newest_answered_sent_at.max(sent_at);
     }
 
-    /// Whether it has answered what was sent later than this: then the connection fell silent, not the
-    /// server.
+    /// Returns whether the cache answered an attempt sent after `sent_at`. If so, an older unanswered attempt
+    /// points to its connection rather than to the server.
     pub(super) fn has_answered_since(&self, sent_at: Micros) -> bool {
         self.newest_answered_sent_at > sent_at
     }
 
-    /// Whether a trial request may be sent.
+    /// Returns whether a trial request may be sent.
     pub(super) fn is_trial_due(&self, now: Micros) -> bool {
         now >= self.next_trial_at
     }
@@ -91,7 +91,7 @@
         self.failure_share += SAMPLE_GAIN * (failure - self.failure_share);
     }
 
-    /// Takes in what a trial at an ejected cache gave.
+    /// Records the result of a trial request to an ejected cache.
     fn record_trial(&mut self, good: bool) {
         if !good {
             self.good_trials = 0;
@@ -116,7 +116,7 @@
     }
 }
 
-/// How an outcome counts in a cache's health.
+/// What an outcome says about a cache's health.
 enum HealthSignal {
     Answered,
     Failed,
@@ -127,18 +127,17 @@
 impl HealthSignal {
     fn of(outcome: Outcome) -> Self {
         match outcome {
-            // A malformed reply is as good a sign of life as any: ejecting its server would only move its
-            // keys.
+            // A malformed reply shows that the server answers. Ejecting it would only move its keys.
             Outcome::Ok | Outcome::Miss | Outcome::MalformedReply => HealthSignal::Answered,
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => HealthSignal::Failed,
             Outcome::Timeout => HealthSignal::TimedOut,
-            // A full server works: ejecting it would only move its whole load to the next one.
+            // A server that rejects is working. Ejecting it would only move its load to the next one.
             Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => HealthSignal::Inconclusive,
         }
     }
 }
 
-/// A mean of latencies and their mean deviation, in microseconds.
+/// A mean latency and its mean deviation, in microseconds.
 #[derive(Default)]
 struct ReadLatency {
     mean: f64,
@@ -154,13 +153,13 @@
 
 /// Decides which caches are ejected.
 pub(super) struct OutlierDetector {
-    /// A read is late after this time, in microseconds.
+    /// The time after which a read is late, in microseconds.
     late_threshold: f64,
     /// The read latency of caches that are not ejected.
     read_latency: ReadLatency,
-    /// The weight that is ejected, as the latest evaluation left it.
+    /// The ejected weight as of the latest evaluation.
     ejected_weight: f64,
-    /// Evaluations of the whole fleet so far.
+    /// The number of evaluations so far.
     evaluations: u64,
 }
 
@@ -174,12 +173,12 @@
         }
     }
 
-    /// The time after which a read is late, in microseconds.
+    /// Returns the time after which a read is late, in microseconds.
     pub(super) fn late_threshold(&self) -> f64 {
         self.late_threshold
     }
 
-    /// The time within which nearly all reads are answered, in microseconds.
+    /// Returns the time within which nearly all reads are answered, in microseconds.
     pub(super) fn high_read_latency(&self) -> f64 {
         self.read_latency.mean + HIGH_LATENCY_DEVIATIONS * self.read_latency.deviation
     }
@@ -188,7 +187,7 @@
         self.evaluations
     }
 
-    /// Ejects caches that fail or are slow, while enough weight is left.
+    /// Ejects failing and slow caches, as long as the ejected weight stays within [`MAX_EJECTED_SHARE`].
     pub(super) fn evaluate(&mut self, now: Micros, backends: &mut Backends) {
         self.evaluations += 1;
         let mut latencies: Vec<f64> = Vec::new();
@@ -217,8 +216,8 @@
         self.ejected_weight = ejected_weight;
     }
 
-    /// Evaluates the fleet after an outcome only if this cache gives cause, and may be ejected: an evaluation
-    /// for each outcome would cost too much, and one comes with the weights ten times a second anyway.
+    /// Evaluates the fleet if this cache looks like an outlier and may be ejected. Evaluating after every
+    /// outcome would be too expensive; all caches are evaluated with each weight update anyway.
     pub(super) fn evaluate_if_suspect(&mut self, now: Micros, index: BackendIndex, backends: &mut Backends) {
         let Backend { health, weight, .. } = &backends[index];
         let suspect = health.is_failing() || health.latency > self.late_threshold;
@@ -228,7 +227,7 @@
         }
     }
 
-    /// Takes in how an attempt at a cache ended; `took` is `None` where nothing tells the server's own time.
+    /// Records how an attempt at a cache ended. `took` is `None` if the server's own time is unknown.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -246,7 +245,7 @@
         let health = &mut backends[index].health;
         let severity = if outcome == Outcome::Reset { RESET_FAILURE_WEIGHT } else { 1.0 };
         health.record_outcome(if failed { severity } else { 0.0 });
-        // A miss costs a cache little and says nothing of how long an answer takes.
+        // A miss is cheap for a cache, so its latency is not counted.
         if let Some(took) = took.filter(|_| has_latency && outcome != Outcome::Miss) {
             health.record_latency(took);
         }
--- a/src/router/request_coalescing.rs
+++ b/src/router/request_coalescing.rs
@@ -1,32 +1,32 @@
-//! Coalesces reads: those that miss one key at one cache share one fetch, and then read the cache.
+//! Coalesces reads: those that miss the same key at the same cache share one fetch, and then read the cache.
 
 use super::backends::BackendIndex;
 use crate::interface::{Key, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one shared fetch brings, and where to.
+/// Identifies a shared fetch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FetchKey {
     /// The key that was missed.
     pub(super) key: Key,
-    /// The cache that missed it, and stores the value as it passes.
+    /// The cache that missed it and stores the fetched value.
     pub(super) cache: BackendIndex,
 }
 
-/// The fetches in flight, and the reads that wait for each.
+/// The shared fetches in flight and the reads that wait for each.
 #[derive(Default)]
 pub(super) struct CoalescedFetches {
     waiters: BTreeMap<FetchKey, BTreeSet<RequestId>>,
 }
 
 impl CoalescedFetches {
-    /// Notes that a fetch is in flight, so that others may wait for it.
+    /// Registers a fetch in flight, so that other reads can wait for it.
     pub(super) fn start(&mut self, fetch: FetchKey) {
         self.waiters.entry(fetch).or_default();
     }
 
-    /// Has a read wait for a fetch, if that is in flight. Waiters that are no longer open are dropped once
-    /// they may be the most: clients that ask and leave, over and over, must not pile up.
+    /// Makes a read wait for a fetch if that is in flight; returns whether it waits. Drops waiters that are
+    /// no longer open when at least half of them must be, so that clients that leave do not accumulate.
     pub(super) fn join(
         &mut self,
         fetch: FetchKey,
@@ -42,17 +42,17 @@
         true
     }
 
-    /// Ends a fetch and gives the reads that waited for it.
+    /// Removes a fetch and returns the reads that waited for it.
     pub(super) fn finish(&mut self, fetch: FetchKey) -> BTreeSet<RequestId> {
         self.waiters.remove(&fetch).unwrap_or_default()
     }
 
-    /// Fetches in flight.
+    /// Returns the number of fetches in flight.
     pub(super) fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Reads that wait, over all fetches.
+    /// Returns the number of waiting reads over all fetches.
     pub(super) fn waiters(&self) -> usize {
         self.waiters.values().map(BTreeSet::len).sum()
     }
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -1,10 +1,10 @@
-//! The rules on repeating a request: what its class allows once an attempt of it may have run.
+//! The rules for repeating a request: what its class allows once an attempt may have run.
 
 use super::backends::Backends;
 use super::in_flight::{AttemptState, InFlightRequest};
 use crate::interface::{Effect, Endpoint, Micros, Scope, Settings};
 
-/// The servers among which repeats of a deduplicated request are dropped.
+/// The servers that share deduplication state with the first attempt that may have run.
 #[derive(Clone, Copy)]
 enum DedupGroup {
     All,
@@ -30,19 +30,19 @@
     }
 }
 
-/// What the rules leave open for a request.
+/// What a request may do next.
 pub(super) struct AttemptPermission {
-    /// Whether a further attempt may be sent, to a server of the group.
+    /// Whether a further attempt may be sent to a server of `dedup_group`.
     may_send: bool,
     dedup_group: DedupGroup,
-    /// Whether "rejected, a retry is harmless" would be a true final answer.
+    /// Whether the final answer may be a rejection, which tells the client that a retry is safe.
     pub(super) may_reject: bool,
-    /// Until when a further attempt may begin.
+    /// The latest time at which a further attempt may start.
     pub(super) begin_by: Micros,
 }
 
 impl AttemptPermission {
-    /// What may be sent or answered next: the one place of these rules.
+    /// Returns what a request may do next. All retry rules are applied here.
     pub(super) fn of(
         request: &InFlightRequest,
         settings: &Settings,
@@ -65,12 +65,13 @@
         permission
     }
 
-    /// Whether a further attempt may be sent to this server.
+    /// Returns whether a further attempt may be sent to this server.
     pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
         self.may_send && self.dedup_group.contains(endpoint)
     }
 
-    /// The first attempt that may have run decides. A class that the settings do not know is never repeated.
+    /// Applies the effect of the class, based on the first attempt that may have run. A request of unknown
+    /// class is never repeated.
     fn restrict_by_effect(&mut self, request: &InFlightRequest, settings: &Settings, backends: &Backends) {
         let may_have_run = |state| state != AttemptState::NeverRan;
         let Some(risky) = request.attempts.iter().find(|attempt| may_have_run(attempt.state)) else { return };
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,22 +1,20 @@
-//! Slow start: what share of its capacity a warming cache has, and how many reads it may be sent.
+//! Slow start: the capacity of a warming cache, and how many reads it may be sent.
 //!
-//! A cache that has just started is empty and slow, and falls over when it is sent much more than it can
-//! bear. Its budget is a share of the hits that caches answer this proxy. Demand is no measure: in an
-//! overload it is more than any cache can bear. Past the budget a read is admitted by chance, in proportion.
-//! Sends that were saved up would come in bursts from all proxies at once, and a saving of one would let
-//! through half of the reads that come one at a time, crowding the warm caches instead.
+//! A cache that has just started is empty and slow, and fails if it gets much more load than it can handle.
+//! Its budget is a share of the rate of cache hits that this proxy sees; demand is unsuitable as a measure,
+//! since in an overload it exceeds what any cache can handle. Reads beyond the budget are denied at random in
+//! proportion. A token bucket is not used, because all proxies would send their saved tokens at once.
 
 use crate::interface::{Micros, Settings};
 
-/// A warming cache gets this part of what would push it over, beside its weight's share of all hits: chance
-/// may use up the rest.
+/// The rate that overloads a warming cache is divided by this factor, as a margin for random variation.
 const OVERLOAD_SAFETY_DIVISOR: f64 = 2.5;
-/// The least time in microseconds over which the rate of hits is measured.
+/// The minimum time over which the hit rate is measured.
 const HIT_RATE_INTERVAL: Micros = 1_000_000;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The share of its full capacity that a server has: from `initial_capacity_share` up to 1 over `warmup`.
+/// Returns a server's share of its full capacity, which grows from `initial_capacity_share` to 1 over
+/// `warmup`.
 pub(super) fn capacity_share(settings: &Settings, started_at: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(started_at);
     if started_at == 0 || age >= settings.warmup {
@@ -26,8 +24,8 @@
     initial + (1.0 - initial) * age as f64 / settings.warmup as f64
 }
 
-/// The rate at which caches answer this proxy with hits. Misses tell nothing of what warm caches bear: an
-/// empty one would draw more of them, the more it lacks.
+/// The rate of cache hits that this proxy sees. Misses are not counted: a cold cache causes many of them, and
+/// they do not show what warm caches can handle.
 pub(super) struct HitRate {
     hits: u32,
     measured_at: Micros,
@@ -43,7 +41,7 @@
         self.hits += 1;
     }
 
-    /// Takes a new measurement if the last one is old enough.
+    /// Updates the rate if the current interval is long enough.
     pub(super) fn update(&mut self, now: Micros) {
         if now.saturating_sub(self.measured_at) < HIT_RATE_INTERVAL {
             return;
@@ -60,23 +58,23 @@
     }
 }
 
-/// What is known of a warming cache and of the fleet when a read asks for a place.
+/// The inputs of a slow-start decision about one cache.
 pub(super) struct WarmingCache {
-    /// The cache's share of all weight.
+    /// The cache's share of the total weight.
     pub(super) weight_share: f64,
-    /// Hits a second at all caches.
+    /// Hits per second over all caches.
     pub(super) hit_rate: f64,
-    /// The mean time that the cache takes over an answer, in microseconds; 0 if it has answered nothing.
+    /// The cache's average latency, in microseconds; 0 if unknown.
     pub(super) answer_time: f64,
-    /// When the cache last slowed down.
+    /// When the cache's congestion window was last cut.
     pub(super) window_cut_at: Micros,
-    /// Reads a second that this proxy is asked for, over all caches; 0 until that is known.
+    /// Reads per second that arrive at this proxy for any cache; 0 if unknown.
     pub(super) read_rate: f64,
 }
 
-/// The reads that asked for a place at one cache while it was warming up.
+/// Counts the reads that were considered for a cache while it was warming up.
 pub(super) struct SlowStartBudget {
-    /// Their number, decaying over the time by which an overload is judged.
+    /// The number of such reads, decaying exponentially over `overload_window`.
     demand: f64,
     demand_at: Micros,
     counting_since: Micros,
@@ -87,7 +85,7 @@
         SlowStartBudget { demand: 0.0, demand_at: now, counting_since: now }
     }
 
-    /// Whether one more read may go to the cache; `random` is uniform in [0, 1).
+    /// Returns whether one more read may go to the cache. `random` is uniform in [0, 1).
     pub(super) fn admit(
         &mut self,
         now: Micros,
@@ -97,23 +95,24 @@
     ) -> bool {
         let window = settings.overload_window.max(1) as f64 / MICROS_PER_SECOND;
         let allowed = allowed_rate(now, cache, settings) * window;
-        // This read is not counted, so as not to bias it. In the first window the budget is the part of it
-        // gone by: else a fleet that starts without any history would let all reads in.
+        // The current read is not counted, to avoid bias. While less than one window has been counted, the
+        // budget is reduced to the counted share, or a fleet without history would admit all reads.
         let demand = self.demand * (-((now - self.demand_at) as f64 / MICROS_PER_SECOND) / window).exp();
         let window_elapsed_share =
             1.0 - (-((now - self.counting_since) as f64 / MICROS_PER_SECOND) / window).exp();
         self.demand = demand + 1.0;
         self.demand_at = now;
-        // A proxy that reads from one cache once in many windows counts no demand there, and hundreds of them would
-        // each admit every read: the cache's share of all reads of this proxy bounds its demand from below.
+        // Demand counts are near zero at a proxy that rarely reads from this cache, and many such proxies
+        // would each admit every read. The cache's expected share of this proxy's reads is a lower bound on
+        // its demand.
         let expected = cache.weight_share * cache.read_rate * window;
         random * demand.max(expected) < allowed * window_elapsed_share
     }
 }
 
-/// Reads a second that a warming cache may be sent. A cache that has not slowed down bears at least one read
-/// from all proxies together in the time that it takes over one: without that, caches would stay cold and
-/// empty where few are left whose hits tell what a cache bears.
+/// Returns the reads per second that a warming cache may be sent. A cache whose window was not cut recently
+/// is assumed to handle one read at a time from all proxies together, so that a fleet with few warm caches
+/// can still warm up.
 fn allowed_rate(now: Micros, cache: &WarmingCache, settings: &Settings) -> f64 {
     let headroom = settings.overload_multiple / OVERLOAD_SAFETY_DIVISOR;
     let fleet_answer_time = cache.answer_time * f64::from(settings.proxies);
--- a/src/router/snapshot.rs
+++ b/src/router/snapshot.rs
@@ -1,48 +1,48 @@
-//! What a router holds at one moment, for checks, metrics and charts. Nothing is decided here.
+//! Read-only views of a router's state, for checks, metrics and charts.
 
 use super::Router;
 use crate::interface::{ServerId, ServerState};
 
-/// What a router holds at one moment.
+/// The state of a router at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouterSnapshot {
-    /// Requests that are open, or over with attempts outstanding.
+    /// Requests that are open, or done with outstanding attempts.
     pub in_flight_requests: usize,
-    /// Attempts that it counts as outstanding, at all servers.
+    /// Outstanding attempts at all servers.
     pub in_flight_attempts: u64,
-    /// Fetches that reads of the same key may wait for.
+    /// Shared fetches in flight.
     pub coalesced_fetches: usize,
-    /// Reads that wait for such a fetch.
+    /// Reads that wait for a shared fetch.
     pub coalesced_waiters: usize,
-    /// Servers that it has a record of, gone ones included.
+    /// Server records, including those of gone servers.
     pub servers: usize,
-    /// Keys counted in this epoch and the one before.
+    /// Keys counted in the current and the previous epoch.
     pub counted_keys: usize,
-    /// The size of the origin's congestion window, in attempts.
+    /// The origin's congestion window, in attempts.
     pub window: f64,
-    /// Servers ejected as outliers.
+    /// Servers ejected by outlier detection.
     pub ejected: usize,
-    /// Evaluations of the whole fleet by the outlier detection so far.
+    /// Evaluations of the whole fleet by outlier detection since the start.
     pub fleet_evaluations: u64,
-    /// Requests of known tenants so far that were admitted within quota.
+    /// Requests of known tenants admitted within quota since the start.
     pub admitted_within_quota: u64,
-    /// Requests of known tenants so far that were admitted though beyond quota.
+    /// Requests of known tenants admitted beyond quota since the start.
     pub admitted_beyond_quota: u64,
-    /// Requests so far that were rejected at arrival since they were beyond quota.
+    /// Requests rejected on arrival because they were beyond quota, since the start.
     pub rejected_by_quota: u64,
 }
 
-/// What is under way at one moment.
+/// The requests and attempts in flight at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
-    /// Requests that are open, or over with attempts outstanding.
+    /// Requests that are open, or done with outstanding attempts.
     pub requests: usize,
-    /// Attempts that hold a slot of a congestion window.
+    /// Attempts that occupy a slot of a congestion window.
     pub attempts: u64,
 }
 
 impl Router {
-    /// Counts what this router holds. Costs time in proportion to it.
+    /// Returns the current state. Takes time linear in the number of servers and of shared fetches.
     pub fn snapshot(&self) -> RouterSnapshot {
         let quota_counts = self.quotas.counts();
         RouterSnapshot {
@@ -61,14 +61,13 @@
         }
     }
 
-    /// The listed servers that are ejected, for what their own outcomes tell.
+    /// Returns the listed servers that are ejected by outlier detection.
     pub fn ejected_servers(&self) -> impl Iterator<Item = ServerId> + '_ {
         let listed = self.backends.iter().filter(|backend| backend.endpoint.state != ServerState::Gone);
         listed.filter(|backend| backend.health.is_ejected()).map(|backend| backend.endpoint.server)
     }
 
-    /// Requests in flight, and attempts that the windows count: in constant time, unlike
-    /// [`Router::snapshot`].
+    /// Returns the requests and attempts in flight, in constant time.
     pub fn in_flight(&self) -> InFlight {
         let attempts =
             u64::from(self.origin_window.in_flight()) + u64::from(self.all_caches_window.in_flight());
--- a/src/router/tenant_quotas.rs
+++ b/src/router/tenant_quotas.rs
@@ -1,59 +1,54 @@
-//! Admission by tenant quota: under contention, what is beyond its tenant's quota is rejected first.
+//! Admission by tenant quota: under contention, requests beyond their tenant's quota are rejected first.
 //!
-//! A token bucket for each tenant tells requests within its quota from those beyond it. One probability for
-//! all tenants, steered by what becomes of the requests within quota, tells how many of the others there is
-//! room for. `docs/quotas.md` has the reasons and the alternatives.
+//! A token bucket per tenant separates requests within quota from those beyond it. Requests beyond quota are
+//! admitted with one probability for all tenants, which falls when requests within quota are lost and rises
+//! when they are served. `docs/quotas.md` gives the reasons and alternatives.
 
 use super::random::SplitMix64;
 use crate::interface::{Micros, Settings, Tenant};
 
-/// How many seconds of its quota a tenant may save up: bursts of clients that keep to it on average are
-/// within quota.
+/// The depth of a token bucket, in seconds of its refill rate.
 const BURST_SECONDS: f64 = 2.0;
-/// The least depth of a bucket, in tokens: a small tenant's few requests come in clumps too.
+/// The minimum depth of a token bucket. Allows small bursts by tenants with small quotas.
 const MIN_BURST_TOKENS: f64 = 4.0;
-/// The span over which a tenant's request rate is averaged, in seconds: long beside its bursts, short beside
-/// a shift of traffic between proxies.
+/// The time constant of a tenant's average request rate.
 const RATE_AVERAGING_SECONDS: f64 = 5.0;
-/// How often this proxy's part of the traffic is estimated anew: a request in between costs no pass over
-/// the tenants.
+/// The minimum time between two estimates of the traffic ratio, each of which visits all tenants.
 const TRAFFIC_RATIO_INTERVAL: Micros = 200_000;
-/// The least traffic ratio: with less traffic than the mean proxy's the prior stands, for a bucket that is
-/// too small rejects what is owed, one that is too large only protects less.
+/// The minimum traffic ratio. A bucket that is too small rejects requests within quota, one that is too large
+/// only protects less, so the refill rate never falls below the even share.
 const MIN_TRAFFIC_RATIO: f64 = 1.0;
-/// What is left of the admission probability after a request within quota was lost: contention must end
-/// within a few such losses.
+/// The admission probability is multiplied by this factor when a request within quota is lost.
 const DECREASE_FACTOR: f64 = 0.5;
-/// What a served request within quota adds to the admission probability: from 0 it takes 200 to admit all.
+/// Added to the admission probability when a request within quota is served.
 const INCREASE_PER_SUCCESS: f64 = 0.005;
-/// From so many requests a second at one proxy on, a quota limits nothing: no proxy takes in as many, and
-/// sums over the tenants stay far from overflow.
+/// A quota of at least this many requests per second at one proxy counts as unlimited. Avoids overflow in
+/// sums over the tenants.
 const UNLIMITED_RATE_PER_S: f64 = 1e9;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How a request stands to its tenant's quota.
+/// Whether a request is within its tenant's quota.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum QuotaStanding {
-    /// A token was there for it, or its tenant has no quota.
+    /// A token was available, or the tenant has no quota.
     Within,
-    /// Its tenant had no token left.
+    /// The tenant's token bucket was empty.
     Beyond,
 }
 
-/// What is decided of a request at its arrival.
+/// The quota decision for an arriving request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum QuotaDecision {
-    /// It goes on.
+    /// The request is admitted.
     Admit(QuotaStanding),
-    /// It is rejected for its tenant's quota, which has no further token for so long.
+    /// The request is rejected because it is beyond its tenant's quota.
     Reject {
-        /// `None` if there will never be one.
+        /// The time in which one token is added; `None` if the refill rate is 0.
         next_token: Option<Micros>,
     },
 }
 
-/// What has been decided so far of requests whose tenant is known.
+/// Decisions so far about requests of known tenants.
 #[derive(Clone, Copy, Default)]
 pub(super) struct QuotaCounts {
     pub(super) admitted_within: u64,
@@ -65,19 +60,19 @@
     later.saturating_sub(earlier) as f64 / MICROS_PER_SECOND
 }
 
-/// The tokens that a tenant has at this proxy.
+/// A tenant's tokens at this proxy.
 struct TokenBucket {
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A bucket that is full.
+    /// Returns a full bucket.
     fn new(per_s: f64, now: Micros) -> Self {
         TokenBucket { tokens: Self::depth(per_s), refilled_at: now }
     }
 
-    /// The most tokens that are saved up at this rate; without a rate there are none at all.
+    /// Returns the maximum number of tokens at this refill rate; 0 without a refill rate.
     fn depth(per_s: f64) -> f64 {
         if per_s > 0.0 {
             (per_s * BURST_SECONDS).max(MIN_BURST_TOKENS)
@@ -86,7 +81,7 @@
         }
     }
 
-    /// Refills at the rate, and takes a token if there is a whole one.
+    /// Refills the bucket, and takes a token if at least one is available.
     fn try_acquire(&mut self, now: Micros, per_s: f64) -> bool {
         let refill = seconds_between(self.refilled_at, now) * per_s;
         self.refilled_at = self.refilled_at.max(now);
@@ -99,9 +94,9 @@
     }
 }
 
-/// The exponentially averaged rate of a tenant's requests.
+/// The exponentially averaged request rate of a tenant.
 struct RateEstimate {
-    /// Requests a second, as of `updated_at`.
+    /// Requests per second as of `updated_at`.
     per_s: f64,
     updated_at: Micros,
 }
@@ -116,16 +111,15 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// The rate, if none has come since the last one.
+    /// Returns the rate at `now`, assuming no request since `updated_at`.
     fn at(&self, now: Micros) -> f64 {
         self.per_s * (-seconds_between(self.updated_at, now) / RATE_AVERAGING_SECONDS).exp()
     }
 }
 
-/// What is kept of a tenant.
+/// The state kept for one tenant.
 struct TenantState {
-    /// The tenant's quota in requests a second, divided evenly among the proxies: what is known before any
-    /// traffic is seen.
+    /// The tenant's quota in requests per second, divided evenly among the proxies.
     prior_per_s: f64,
     bucket: TokenBucket,
     rate: RateEstimate,
@@ -133,7 +127,7 @@
 
 impl TenantState {
     fn new(tenant: &Tenant, proxies: f64, now: Micros) -> Self {
-        // A negative quota allows nothing. One that is not a number says nothing, so it limits nothing.
+        // A negative quota allows nothing; NaN counts as unlimited.
         let quota = tenant.quota_per_s;
         let prior_per_s = if quota.is_nan() { f64::INFINITY } else { quota.max(0.0) / proxies };
         TenantState { prior_per_s, bucket: TokenBucket::new(prior_per_s, now), rate: RateEstimate::new(now) }
@@ -143,12 +137,12 @@
         self.prior_per_s >= UNLIMITED_RATE_PER_S
     }
 
-    /// Whether its use of the quota tells anything of this proxy's part of the traffic.
+    /// Returns whether the quota is positive and limited, so that its usage can be measured.
     fn has_bounded_quota(&self) -> bool {
         self.prior_per_s > 0.0 && !self.is_unlimited()
     }
 
-    /// Takes in one request.
+    /// Counts a request, and returns whether it is within quota.
     fn record_request(&mut self, now: Micros, traffic_ratio: f64) -> QuotaStanding {
         self.rate.record(now);
         if self.is_unlimited() || self.bucket.try_acquire(now, self.prior_per_s * traffic_ratio) {
@@ -158,26 +152,26 @@
         }
     }
 
-    /// The time in which one token comes; `None` if none ever does.
+    /// Returns the time in which one token is added; `None` if the refill rate is 0.
     fn token_interval(&self, traffic_ratio: f64) -> Option<Micros> {
         let per_s = self.prior_per_s * traffic_ratio;
         (per_s > 0.0).then(|| (MICROS_PER_SECOND / per_s) as Micros)
     }
 }
 
-/// One tenant's observed rate over its prior, and the weight of that.
+/// A tenant's observed rate divided by its even share of the quota, and the weight of that ratio.
 struct QuotaUsage {
     ratio: f64,
     weight: f64,
 }
 
-/// This proxy's traffic over the mean proxy's. Where clients are not spread evenly, an even division of the
-/// quotas would take the tenants of a busy proxy for excessive. All of them ask for more there, so the median
-/// tells it; a few that do go beyond their quota do not move it.
+/// This proxy's traffic relative to the mean proxy's. If clients are not spread evenly, all tenants exceed
+/// their even share at a busy proxy. The median over the tenants measures that, and a few tenants that exceed
+/// their quota do not change it.
 struct TrafficRatio {
     value: f64,
     estimated_at: Micros,
-    /// Kept between estimates so that none allocates.
+    /// Reused between estimates to avoid allocation.
     usages: Vec<QuotaUsage>,
 }
 
@@ -193,7 +187,7 @@
         }
     }
 
-    /// The median over the tenants, weighted by quota, of the observed rate over the prior.
+    /// Returns the median of the tenants' observed rates divided by their even shares, weighted by quota.
     fn median_usage(&mut self, now: Micros, tenants: &[TenantState]) -> f64 {
         let bounded_tenants = tenants.iter().filter(|tenant| tenant.has_bounded_quota()).map(|tenant| {
             QuotaUsage { ratio: tenant.rate.at(now) / tenant.prior_per_s, weight: tenant.prior_per_s }
@@ -211,8 +205,8 @@
     }
 }
 
-/// The chance of a request beyond quota, by additive increase and multiplicative decrease: the loss of a
-/// request within quota is the sign of congestion.
+/// The probability of admitting a request beyond quota: additive increase, multiplicative decrease. The loss
+/// of a request within quota is the congestion signal.
 struct AdmissionController {
     probability: f64,
 }
@@ -226,7 +220,7 @@
         self.probability = (self.probability + INCREASE_PER_SUCCESS).min(1.0);
     }
 
-    /// Draws no number while all is admitted.
+    /// Draws no random number while the probability is 1.
     fn admits(&self, random: &mut SplitMix64) -> bool {
         self.probability >= 1.0 || random.next_unit() < self.probability
     }
@@ -234,7 +228,7 @@
 
 /// The quotas of all tenants at this proxy.
 pub(super) struct TenantQuotas {
-    /// By [`crate::Request::tenant`].
+    /// Indexed by [`crate::Request::tenant`].
     tenants: Vec<TenantState>,
     traffic_ratio: TrafficRatio,
     controller: AdmissionController,
@@ -253,8 +247,7 @@
         }
     }
 
-    /// Takes in a request and decides whether its tenant's quota lets it go on. A tenant that the settings
-    /// do not know is never limited.
+    /// Counts a request and decides whether its tenant's quota admits it. Unknown tenants are not limited.
     pub(super) fn decide(
         &mut self,
         now: Micros,
@@ -278,14 +271,14 @@
         QuotaDecision::Admit(standing)
     }
 
-    /// The router rejected or failed a request.
+    /// Records that the router rejected or failed a request.
     pub(super) fn record_loss(&mut self, standing: QuotaStanding) {
         if standing == QuotaStanding::Within {
             self.controller.record_loss();
         }
     }
 
-    /// A request was answered with a value.
+    /// Records that a request was served.
     pub(super) fn record_success(&mut self, standing: QuotaStanding) {
         if standing == QuotaStanding::Within {
             self.controller.record_success();
--- a/src/router/timer_token.rs
+++ b/src/router/timer_token.rs
@@ -1,4 +1,4 @@
-//! What a timer's token speaks of: its two lowest bits say what for, the others name the request.
+//! Encodes timers as tokens: the two lowest bits are the kind, the others the request id.
 
 use crate::interface::RequestId;
 
@@ -8,14 +8,14 @@
 const DEADLINE: u64 = 1;
 const DISCOVERY: u64 = 2;
 
-/// A timer that the router asks for.
+/// A timer set by the router.
 #[derive(Clone, Copy)]
 pub(super) enum RouterTimer {
-    /// A cache may be silent about this read by then.
+    /// Checks whether the cache has answered this read.
     SlowRead(RequestId),
-    /// The client of this request waits no longer.
+    /// The deadline of this request.
     Deadline(RequestId),
-    /// Discovery is to be called again.
+    /// Calls discovery again.
     Discovery,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// `None` for a token that the router never asked for.
+    /// Returns `None` for a token that the router did not create.
     pub(super) fn from_token(token: u64) -> Option<Self> {
         match token & KIND_MASK {
             SLOW_READ => Some(RouterTimer::SlowRead(token >> KIND_BITS)),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The request that a token names, whatever its kind.
+    /// Returns the request id in a token; `None` for a timer without a request.
     pub(super) fn request(token: u64) -> Option<RequestId> {
         (token & KIND_MASK != DISCOVERY).then_some(token >> KIND_BITS)
     }
--- a/src/stack.rs
+++ b/src/stack.rs
@@ -1,17 +1,17 @@
-//! Composes decisions from layers: each takes the same events and gives the same actions as the router, and wraps
-//! the next one. Hosts drive the outermost layer and do not know which others there are.
+//! The trait shared by the router and the layers around it. A layer takes the same events and returns the
+//! same actions as the router that it wraps; the host only sees the outermost layer.
 
 use crate::{Action, Event, Micros, RequestId, Router};
 
-/// Something that decides: the router, or a layer around it.
+/// Makes routing decisions: the router, or a layer around it.
 pub trait Decide {
-    /// Takes one event and appends what is to be done at once to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
 
-    /// The request that a timer's token speaks of; see [`Router::timer_request`].
+    /// Returns the request that a timer token refers to; see [`Router::timer_request`].
     fn timer_request(&self, token: u64) -> Option<RequestId>;
 
-    /// What [`crate::Request::group`] is to be for a key of these bytes.
+    /// Returns the value of [`crate::Request::group`] for a key; 0 for none.
     fn group(&self, _key: &[u8]) -> u32 {
         0
     }
