--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission to the origin: who gets its window's capacity, and what rejected clients are told.
+//! Admission to the origin: use of its window, and Retry-After of rejections.
 
 mod common;
 use common::*;
@@ -20,10 +20,10 @@
             assert_eq!(send_targets(&actions), [ORIGIN]);
         }
     }
-    assert!(rejections > 0, "39 writes at once fit the first window");
+    assert!(rejections > 0, "the initial window admitted all 39 writes");
 }
 
-/// Calls whose clients cannot wait for them would take the origin's capacity for nothing.
+/// Calls that cannot finish in time would waste the origin's capacity.
 #[test]
 fn write_that_cannot_finish_before_its_deadline_is_rejected() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -42,7 +42,7 @@
     }
 }
 
-/// Writes that find the window full of reads' fetches are rejected for good, and are worth more.
+/// Fetches of missed reads must not fill the window: a rejected write cannot be served from a cache later.
 #[test]
 fn reads_use_only_their_share_of_the_origin_window() {
     let admitted_counts = |share: f64| {
@@ -58,7 +58,7 @@
             fetching += usize::from(send_targets(&after_miss) == [ORIGIN]);
             assert!(
                 send_targets(&after_miss) == [ORIGIN] || is_rejected(&after_miss),
-                "refused at once, not held"
+                "a read that is not fetched is rejected at once"
             );
         }
         let now = START + S;
@@ -67,13 +67,13 @@
             (20..30).filter(|&id| !send_targets(&arrive(&mut router, now, new_write(id))).is_empty()).count();
         (fetching, writes)
     };
-    // The window starts at eight: three fifths of it hold four fetches whole.
+    // The initial window is 8: the default read share of 0.6 allows four whole fetches.
     assert_eq!(admitted_counts(1.0), (4, 4));
     assert_eq!(admitted_counts(0.25), (2, 6));
-    assert_eq!(admitted_counts(0.01), (1, 7), "never less than one: a class must not starve");
+    assert_eq!(admitted_counts(0.01), (1, 7), "at least one fetch is always admitted");
 }
 
-/// Finding 5: after delays of next to nothing a rejection told the client no time to come back.
+/// Retry-After is derived from measured delays, which can be zero.
 #[test]
 fn retry_after_is_at_least_one_millisecond_when_delays_are_zero() {
     let mut router = new_router(settings(), &endpoints(6));
--- a/tests/cache_selection.rs
+++ b/tests/cache_selection.rs
@@ -1,4 +1,4 @@
-//! The choice of a cache for a read: placement, hot keys, and caches without capacity.
+//! Choice of a cache for a read: placement, hot keys, and caches at capacity.
 
 mod common;
 use common::*;
@@ -42,19 +42,22 @@
     }
 }
 
-/// Incident i312202: reads went from full cache to full cache and missed at each.
+/// Rejected reads must not go from one overloaded cache to the next and miss at each of them.
 #[test]
 fn rejected_read_tries_only_the_next_ranked_cache() {
     let key = keys_placed_on(2, 1)[0];
     let mut router = new_router(Settings { max_attempts: 6, ..settings() }, &endpoints(6));
     arrive(&mut router, START, read_request(1, key, START));
     let second = send_targets(&end_attempt(&mut router, START, 1, 0, Outcome::Rejected, 0));
-    assert!(second.len() == 1 && second[0] != 2, "the next rank: {second:?}");
+    assert!(second.len() == 1 && second[0] != 2, "expected the next rank, sent to {second:?}");
     let actions = end_attempt(&mut router, START, 1, 1, Outcome::Rejected, 0);
-    assert!(send_targets(&actions).is_empty() && is_rejected(&actions), "and no further: refused at once");
+    assert!(
+        send_targets(&actions).is_empty() && is_rejected(&actions),
+        "rejected without trying a third cache"
+    );
 }
 
-/// Overload on all caches: queues grew until every client had given up.
+/// Excess reads must be rejected instead of queued until their clients' deadlines.
 #[test]
 fn reads_beyond_the_window_of_the_only_cache_are_rejected() {
     let mut router = new_router(settings(), &endpoints(1));
@@ -64,7 +67,7 @@
     for id in 100..200 {
         rejections += u32::from(is_rejected(&arrive(&mut router, now, read_request(id, id, now))));
     }
-    assert!(rejections > 50, "100 reads at once on one cache: only {rejections} refused");
+    assert!(rejections > 50, "only {rejections} of 100 simultaneous reads of one cache rejected");
 }
 
 #[test]
@@ -73,7 +76,7 @@
     let (mut now, mut hot_key_targets) = (START, std::collections::BTreeSet::new());
     for id in 1..400u64 {
         now += 200 * MS;
-        // Every twentieth read, one in four seconds, is of the hot key: three fair shares.
+        // Every 20th read, that is one in 4 s, is of the hot key: three times a cache's fair share.
         let hot = id % 20 == 0;
         let key = if hot { 5 } else { key_hash(&id.to_le_bytes()) };
         let to = send_targets(&arrive(&mut router, now, read_request(id, key, now)));
@@ -84,12 +87,12 @@
     }
     assert!(
         hot_key_targets.len() >= 3,
-        "three fair shares of all reads went to {} caches",
+        "a key with three fair shares of all reads was spread over {} caches",
         hot_key_targets.len()
     );
 }
 
-/// The shortcut by which a large fleet is ranked must not change which cache is the best.
+/// Large fleets are ranked by a shortcut, which must not change the best-ranked cache.
 #[test]
 fn large_fleet_reads_go_to_the_highest_scoring_cache() {
     fn mix(mut x: u64) -> u64 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, an endpoint list, and short ways to drive a router.
+//! Shared by the tests: settings, endpoint lists, and helpers that drive a router.
 #![allow(dead_code)]
 
 use notchdoor::*;
@@ -52,7 +52,7 @@
     (0..n).chain([ORIGIN]).map(endpoint).collect()
 }
 
-/// As many proxies as `count`, each with its own seed, with the same endpoint list at the start.
+/// Creates `count` routers, each with its own seed, that start with the same endpoint list.
 pub fn proxy_fleet(count: u32, endpoints: &[Endpoint]) -> Vec<Router> {
     let settings = Settings { proxies: count, ..settings() };
     (0..count)
@@ -104,7 +104,7 @@
     handle(router, now, Event::AttemptEnded { id, attempt, outcome, took: Some(took), request_done })
 }
 
-/// The servers that the actions send to.
+/// Returns the servers that the actions send to.
 pub fn send_targets(actions: &[Action]) -> Vec<ServerId> {
     let server = |a: &Action| match a {
         Action::Send { server, .. } => Some(*server),
@@ -122,7 +122,7 @@
     Request { write: true, class: Some(3), ..read_request(id, id, now) }
 }
 
-/// Sends a write at `now` and ends it `took` later; says where it went, if anywhere.
+/// Sends a write at `now` and, if it was sent, ends it `took` later. Returns whether it was sent.
 pub fn run_write(router: &mut Router, id: RequestId, now: Micros, took: Micros, outcome: Outcome) -> bool {
     let request = at_most_once_write(id, now);
     let was_sent = !send_targets(&arrive(router, now, request)).is_empty();
@@ -132,7 +132,7 @@
     was_sent
 }
 
-/// Keys whose home is the cache `home` of six.
+/// Returns keys whose best-ranked cache of six is `home`.
 pub fn keys_placed_on(home: ServerId, count: usize) -> Vec<Key> {
     let mut probe = new_router(settings(), &endpoints(6));
     let mut at_home = |n: &u64| {
@@ -144,7 +144,7 @@
     (1..1000u64).filter(|n| at_home(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
 }
 
-/// A fleet so large that this proxy asks one cache twice only in many seconds.
+/// Creates a router with `n` caches; with many of them, it reads from each cache only once in many seconds.
 pub fn large_fleet(n: u32) -> (Router, Vec<Endpoint>) {
     let list: Vec<Endpoint> = (1000..1000 + n).chain([ORIGIN]).map(endpoint).collect();
     (new_router(settings(), &list), list)
--- a/tests/congestion_window.rs
+++ b/tests/congestion_window.rs
@@ -1,4 +1,4 @@
-//! The congestion window: what cuts it, how it regrows, and what it must not go by.
+//! The congestion window: what cuts it, how it regrows, and which outcomes it ignores.
 
 mod common;
 use common::*;
@@ -29,7 +29,7 @@
         assert_eq!(send_targets(&arrive(&mut router, START, new_write(id, START))).len(), 1);
     }
     end_attempt(&mut router, START + MS, 1, 0, Outcome::Reset, MS);
-    // The threshold is 4 now. Seven more breaches of the same congestion must leave it there.
+    // The threshold is 4 now. Seven more failures during the same congestion must not change it.
     for id in 2..=8 {
         end_attempt(&mut router, START + 2 * MS, id, 0, Outcome::Reset, 2 * MS);
     }
@@ -41,11 +41,11 @@
     let admitted = (20..30)
         .filter(|&id| !send_targets(&arrive(&mut router, now, new_write(id, now))).is_empty())
         .count();
-    // Had they cut again, the threshold would be 1 and the window 2.5 by now.
+    // With further cuts, the threshold would be 1 and the window 2.5 here.
     assert_eq!(admitted, 3, "slow start regrows the window from 1 to 3 while it is in use");
 }
 
-/// Incident i26b057: the estimate climbed with the queue that it was meant to notice.
+/// The estimate of the normal delay must not follow the queue that it is meant to detect.
 #[test]
 fn slowly_rising_delays_still_cut_the_window() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -68,7 +68,7 @@
         open.len()
     };
     send_until_rejected(&mut router, &mut now, 50 * MS);
-    // Delays creep up by a fifth at a time, always under the limit of the estimate if that followed them.
+    // Delays rise by a fifth at a time, always below the limit if the estimate followed them.
     let mut took = 50 * MS;
     while took < 480 * MS {
         send_until_rejected(&mut router, &mut now, took);
@@ -79,11 +79,11 @@
     for _ in 0..6 {
         min_admitted = min_admitted.min(send_until_rejected(&mut router, &mut now, took));
     }
-    assert!(min_admitted < 4, "a delay ten times the normal one no longer cuts: {min_admitted} still fit");
+    assert!(min_admitted < 4, "{min_admitted} writes admitted at ten times the normal delay");
 }
 
-/// Reads of all keys, every 100 ms, each answered after `took(id)`; says how many of the last 100 were
-/// rejected.
+/// Sends a read of a new key every 100 ms, each answered after `took(id)`; returns how many of the last 100
+/// reads were rejected.
 fn rejections_among_last_100_reads(took: impl Fn(u64) -> Micros) -> usize {
     let (mut router, _) = large_fleet(100);
     let mut open: Vec<(Micros, u64)> = vec![];
@@ -105,20 +105,20 @@
     rejections
 }
 
-/// Incident i6a7b9a: no window of a single cache ever filled, and every read queued until its client gave up.
+/// No single cache's window fills up here, so only the window over all caches can detect the congestion.
 #[test]
 fn sparse_reads_are_rejected_when_all_caches_are_congested() {
     let rejections = rejections_among_last_100_reads(|id| if id < 60 { 100 * MS } else { 1500 * MS });
-    assert!(rejections > 50, "only {rejections} of 100 reads refused though every cache takes 1.5 s");
+    assert!(rejections > 50, "only {rejections} of 100 reads rejected though every cache takes 1.5 s");
 }
 
 #[test]
 fn one_slow_cache_in_eight_does_not_close_the_window_over_all_caches() {
     let rejections = rejections_among_last_100_reads(|id| if id % 8 == 0 { 1500 * MS } else { 100 * MS });
-    assert!(rejections < 5, "{rejections} of 100 reads refused though one cache in eight is slow");
+    assert!(rejections < 5, "{rejections} of 100 reads rejected though only one cache in eight is slow");
 }
 
-/// Incident i03ace8: hundreds of proxies with a call each congest the origin, so a cut must reach below one.
+/// Hundreds of proxies with one call each congest the origin, so the window must be able to fall below one.
 #[test]
 fn sparse_writes_are_spaced_out_after_a_cut() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -130,15 +130,21 @@
     now += 2 * S;
     assert!(run_write(&mut router, 10, now, 50 * MS, Outcome::Reset));
     now += 2 * S;
-    assert!(!run_write(&mut router, 11, now, 50 * MS, Outcome::Ok), "one in two seconds was too many");
+    assert!(
+        !run_write(&mut router, 11, now, 50 * MS, Outcome::Ok),
+        "one write in 2 s exceeds the window after the cut"
+    );
     now += 4 * S;
-    assert!(run_write(&mut router, 12, now, 50 * MS, Outcome::Ok), "spaced, not stopped");
+    assert!(run_write(&mut router, 12, now, 50 * MS, Outcome::Ok), "writes are spaced out, not stopped");
     now += 2 * S;
-    assert!(run_write(&mut router, 13, now, 50 * MS, Outcome::Ok), "a good completion doubles the rate");
+    assert!(
+        run_write(&mut router, 13, now, 50 * MS, Outcome::Ok),
+        "a successful completion doubles the rate"
+    );
 }
 
-/// The time-outs of clients that leave a few milliseconds cut the origin's window and had healthy caches
-/// ejected.
+/// Timeouts of clients with a few milliseconds left must neither cut the origin's window nor eject a healthy
+/// cache.
 #[test]
 fn timeouts_of_requests_with_short_deadlines_change_nothing() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -155,8 +161,7 @@
     }
 }
 
-/// Large values and new connections must not pass for congestion: their replies take long to come over,
-/// though the server began them at once.
+/// Large values and new connections must not count as congestion if the server itself replied quickly.
 #[test]
 fn elapsed_time_beyond_the_servers_own_does_not_cut_the_window() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -164,23 +169,23 @@
     for id in 1..200 {
         let request = at_most_once_write(id, now);
         assert_eq!(send_targets(&arrive(&mut router, now, request)), [ORIGIN], "{id}");
-        // From the hundredth on every answer takes a second, of which the server had 30 ms, or nobody knows.
+        // From the 100th write on, every answer takes 1 s, of which the server took 30 ms or an unknown time.
         let elapsed = if id < 100 { 30 * MS } else { S };
         let took = (id % 2 == 0).then_some(30 * MS);
         now += elapsed;
         let ended = Event::AttemptEnded { id, attempt: 0, outcome: Outcome::Ok, took, request_done: true };
         handle(&mut router, now, ended);
         let second = Request { write: true, class: Some(3), ..read_request(1000 + id, id, now) };
-        assert_eq!(send_targets(&arrive(&mut router, now, second)), [ORIGIN], "{id}: room for two");
+        assert_eq!(send_targets(&arrive(&mut router, now, second)), [ORIGIN], "{id}: the window was cut");
         let third = Request { write: true, class: Some(3), ..read_request(2000 + id, id, now) };
-        assert_eq!(send_targets(&arrive(&mut router, now, third)), [ORIGIN], "{id}: room for two");
+        assert_eq!(send_targets(&arrive(&mut router, now, third)), [ORIGIN], "{id}: the window was cut");
         end_attempt(&mut router, now, 1000 + id, 0, Outcome::Cancelled, 0);
         end_attempt(&mut router, now, 2000 + id, 0, Outcome::Cancelled, 0);
     }
 }
 
-/// Attempts at an origin that is down congest nothing: the window must not shrink to one in five seconds
-/// meanwhile, and comes back to half of what it was. An origin that rejects is congested, and is left alone.
+/// Attempts at an origin that is down do not congest it, so the window must recover to half its size within a
+/// second. An origin that rejects is congested and must not recover as quickly.
 #[test]
 fn window_recovers_within_a_second_after_connection_failures_but_not_after_rejections() {
     for (outcome, recovers) in
@@ -211,18 +216,21 @@
                 max_open = max_open.max(open.len());
             }
         }
-        assert_eq!(max_open >= 4, recovers, "{outcome:?}: {max_open} out at once within a second");
+        assert_eq!(max_open >= 4, recovers, "{outcome:?}: at most {max_open} in flight within a second");
     }
 }
 
-/// Administrative drain: a cache that was slow for a moment rejected nearly all of its keys for as long as
-/// one read at a time took to regrow its window.
+/// A cache that was slow for a moment must not reject nearly all reads of its keys while its window regrows.
 #[test]
 fn slow_answers_halve_the_window_of_a_cache() {
     let mut router = new_router(settings(), &endpoints(6));
     let mut keys = keys_placed_on(2, 60).into_iter();
     let mut read_sent_to_2 = |router: &mut Router, id: RequestId, now: Micros| {
-        send_targets(&arrive(router, now, read_request(id, keys.next().expect("sixty keys"), now))) == [2]
+        send_targets(&arrive(
+            router,
+            now,
+            read_request(id, keys.next().expect("keys_placed_on returned too few keys"), now),
+        )) == [2]
     };
     for id in 1..9 {
         assert!(read_sent_to_2(&mut router, id, START));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: endpoint lists, and calls after a failure.
+//! Discovery: endpoint lists, and retries after a failure.
 
 mod common;
 use common::*;
@@ -27,14 +27,14 @@
     assert!(handle(&mut router, START, Event::EndpointList(&endpoints(3))).contains(&Action::Watch));
     let actions = handle(&mut router, START, Event::DiscoveryError);
     let Some(Action::Timer { after, token }) = actions.first().copied() else {
-        panic!("no timer: {actions:?}")
+        panic!("expected a timer, got {actions:?}")
     };
     assert!(after > 0 && after < 10 * S);
     assert!(handle(&mut router, START + after, Event::Timer(token)).contains(&Action::Watch));
 }
 
-/// A change counts as delivered 6 s after it could be had: no pause between calls may be near that, whatever
-/// the settings leave a proxy between two calls.
+/// A change counts as delivered within 6 s, so the delay between calls must be well below that for any poll
+/// interval.
 #[test]
 fn discovery_retry_delay_is_at_most_three_seconds() {
     let settings = Settings { discovery: Discovery::OnRequest { poll_interval: 100 * S }, ..settings() };
@@ -44,9 +44,9 @@
         for action in handle(&mut router, START, Event::DiscoveryError) {
             match action {
                 Action::Timer { after, .. } => max_backoff = max_backoff.max(after),
-                other => panic!("{other:?}"),
+                other => panic!("expected a timer, got {other:?}"),
             }
         }
     }
-    assert!((2 * S..=3 * S).contains(&max_backoff), "{max_backoff}");
+    assert!((2 * S..=3 * S).contains(&max_backoff), "longest retry delay: {max_backoff} us");
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules of the proxy as properties, over random but fixed sequences of events.
+//! The rules of the router as properties over seeded random sequences of events.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
     AttemptEnded { id: RequestId, attempt: u32, outcome: Outcome, sent_at: Micros },
 }
 
-/// How attempts end: a hit and a miss are three times as likely as each failure.
+/// A hit and a miss are three times as likely as each failure.
 const OUTCOMES: [Outcome; 11] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -37,7 +37,7 @@
 struct AttemptRecord {
     server: ServerId,
     sent_at: Micros,
-    /// Known once it has ended.
+    /// `None` until it has ended.
     outcome: Option<Outcome>,
 }
 
@@ -54,7 +54,7 @@
     attempts: Vec<AttemptRecord>,
 }
 
-/// A simulated fleet that keeps what the rules speak of and asserts them at each action.
+/// A simulated fleet that checks the rules at each action.
 struct World {
     settings: Settings,
     router: Router,
@@ -105,7 +105,7 @@
                     Effect::Idempotent | Effect::Deduplicated { scope: Scope::All, .. } => true,
                     _ => !may_have_run,
                 };
-                assert!(allowed, "effects: refused what may have run");
+                assert!(allowed, "retry rules: rejected a request that may have run");
                 self.record_answer(id);
             }
             Action::Fail { id } => self.record_answer(id),
@@ -116,13 +116,9 @@
 
     fn check_send(&mut self, id: RequestId, server: ServerId, give_up_at: Micros) {
         let now = self.now;
-        assert_eq!(
-            self.states[&server],
-            ServerState::Serving,
-            "drains: sent to a server that does not serve any more"
-        );
-        let record = self.records.get_mut(&id).expect("sent for an unknown request");
-        assert!(!record.answered, "answers: sent after the final answer");
+        assert_eq!(self.states[&server], ServerState::Serving, "drain: sent to a server that is not serving");
+        let record = self.records.get_mut(&id).expect("sent an unknown request");
+        assert!(!record.answered, "answers: attempt sent after the final answer");
         assert!(give_up_at <= record.deadline);
         assert_may_send(&self.settings, record, server, now);
         record.attempts.push(AttemptRecord { server, sent_at: now, outcome: None });
@@ -140,19 +136,19 @@
     fn record_answer(&mut self, id: RequestId) {
         let record = self.records.get_mut(&id).expect("answered an unknown request");
         assert!(!record.answered, "answers: two final answers");
-        assert!(self.now <= record.deadline, "answers: too late");
+        assert!(self.now <= record.deadline, "answers: final answer after the deadline");
         record.answered = true;
         self.answers += 1;
     }
 
-    /// Everything that falls due before `until`.
+    /// Processes all events scheduled up to `until`.
     fn run_until(&mut self, until: Micros) {
         while let Some((&(at, next_sequence), _)) = self.queue.iter().next().filter(|(k, _)| k.0 <= until) {
             self.now = at;
-            match self.queue.remove(&(at, next_sequence)).expect("just seen") {
+            match self.queue.remove(&(at, next_sequence)).expect("peeked above") {
                 ScheduledEvent::Timer(token) => self.handle_event(Event::Timer(token)),
                 ScheduledEvent::AttemptEnded { id, attempt, outcome, sent_at } => {
-                    let record = self.records.get_mut(&id).expect("sent for it");
+                    let record = self.records.get_mut(&id).expect("attempt ended for an unknown request");
                     record.attempts[attempt as usize].outcome = Some(outcome);
                     if outcome == Outcome::Ok && !record.answered {
                         record.answered = true;
@@ -173,15 +169,15 @@
     let Some(first) = record.attempts.iter().find(|attempt| attempt.may_have_run()) else { return };
     match settings.classes[record.class].effect {
         Effect::Idempotent => {}
-        Effect::AtMostOnce => panic!("effects: an unsafe request sent again"),
+        Effect::AtMostOnce => panic!("retry rules: at-most-once request repeated"),
         Effect::Deduplicated { scope, window } => {
-            assert!(now < first.sent_at + window, "effects: sent again after the window");
+            assert!(now < first.sent_at + window, "retry rules: repeated after the deduplication window");
             let same_group = match scope {
                 Scope::All => true,
                 Scope::Zone => endpoint(server).zone == endpoint(first.server).zone,
                 Scope::Cell => endpoint(server).cell == endpoint(first.server).cell,
             };
-            assert!(same_group, "effects: sent again outside the group");
+            assert!(same_group, "retry rules: repeated outside the deduplication scope");
         }
     }
 }
@@ -221,11 +217,11 @@
     let mut max_attempts_seen = 0;
     for seed in 0..40 {
         let world = run_random_world(seed);
-        assert_eq!(world.answers, 1500, "answers: a request was lost (seed {seed})");
+        assert_eq!(world.answers, 1500, "answers: a request was not answered (seed {seed})");
         max_attempts_seen =
             max_attempts_seen.max(world.records.values().map(|s| s.attempts.len()).max().unwrap_or(0));
     }
-    assert_eq!(max_attempts_seen, 3, "the sequences are too tame to show anything");
+    assert_eq!(max_attempts_seen, 3, "no sequence used the maximum number of attempts");
 }
 
 #[test]
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which caches are ejected, and how they return.
+//! Outlier detection: which caches are ejected, and how they are reinstated.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
     assert_ne!(
         send_targets(&end_attempt(&mut router, now, 1, 0, Outcome::ConnectFailed, 0))[0],
         home,
-        "next rank at once"
+        "retried at the next rank"
     );
     for id in 2..5 {
         now += 10 * MS;
@@ -25,9 +25,13 @@
     assert_eq!(
         send_targets(&arrive(&mut router, now, read_request(10, 5, now)))[0],
         home,
-        "one trial after a while"
+        "one trial request after 2 s"
+    );
+    assert_ne!(
+        send_targets(&arrive(&mut router, now, read_request(11, 5, now)))[0],
+        home,
+        "only one trial request"
     );
-    assert_ne!(send_targets(&arrive(&mut router, now, read_request(11, 5, now)))[0], home, "but only one");
 }
 
 #[test]
@@ -61,10 +65,10 @@
     let targets: Vec<ServerId> = (300..340)
         .flat_map(|id| send_targets(&arrive(&mut router, now, read_request(id, id * 77, now))))
         .collect();
-    assert!(targets.iter().any(|&s| s != ORIGIN), "no cache is asked any more");
+    assert!(targets.iter().any(|&s| s != ORIGIN), "all caches are ejected");
 }
 
-/// Finding 33: where many servers failed, each outcome cost a pass over the whole fleet.
+/// Evaluating the fleet after each outcome would take too long when many servers fail.
 #[test]
 fn failing_servers_do_not_cause_an_evaluation_per_outcome() {
     let (mut router, _) = large_fleet(150);
@@ -73,20 +77,19 @@
         let mut targets =
             send_targets(&arrive(&mut router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
         for n in 0..3 {
-            // The origin alone answers.
+            // Only the origin answers.
             let Some(to) = targets.pop() else { break };
             let outcome = if to == ORIGIN { Outcome::Ok } else { Outcome::Error };
             targets = send_targets(&end_attempt(&mut router, now, id, n, outcome, MS));
         }
     }
     let snapshot = router.snapshot();
-    assert_eq!(snapshot.ejected, 60, "as many as may be");
-    // Ten a second, and one for each that was passed over.
+    assert_eq!(snapshot.ejected, 60, "ejections up to the maximum weight share");
+    // At most ten evaluations per second, plus two for each ejected cache.
     assert!(snapshot.fleet_evaluations <= 30 + 2 * 60, "{snapshot:?}");
 }
 
-/// Silent connections: one read that nobody answered had its whole cache ejected, and its keys went to the
-/// origin.
+/// A single stalled connection must not eject its cache, which would send its keys to the origin.
 #[test]
 fn unanswered_read_ejects_a_cache_only_if_later_reads_are_unanswered_too() {
     for later_reads_answered in [true, false] {
@@ -97,7 +100,7 @@
         }
         let mut keys = keys_placed_on(2, 30).into_iter();
         let mut send_read_at_home = |router: &mut Router, id: RequestId, now: Micros| {
-            let key = keys.next().expect("thirty keys");
+            let key = keys.next().expect("keys_placed_on returned too few keys");
             let to = send_targets(&arrive(router, now, read_request(id, key, now)));
             assert!(!later_reads_answered || to == [2], "{id}: {to:?}");
         };
@@ -109,7 +112,7 @@
         for id in 100..110 {
             let now = stalled_at + (id - 100) * 50 * MS;
             send_read_at_home(&mut router, id, now);
-            // The first one is never answered, and its silence is noticed while it lasts.
+            // The first read is never answered, and the slow-read timer fires while it is outstanding.
             if later_reads_answered && id > 100 {
                 end_attempt(&mut router, now + 30 * MS, id, 0, Outcome::Ok, 30 * MS);
             }
--- a/tests/request_coalescing.rs
+++ b/tests/request_coalescing.rs
@@ -27,11 +27,10 @@
         end_attempt(&mut router, START + MS, id, 0, Outcome::Miss, MS);
     }
     let actions = end_attempt(&mut router, START + 50 * MS, 1, 1, Outcome::Reset, 49 * MS);
-    assert_eq!(send_targets(&actions), [ORIGIN], "the next in line fetches in its stead");
+    assert_eq!(send_targets(&actions), [ORIGIN], "the waiting read fetches the value itself");
 }
 
-/// Finding 2: clients that asked for one key and left, over and over, were remembered for as long as a fetch
-/// was out.
+/// Clients that request a key and disconnect repeatedly must not accumulate as waiters during a fetch.
 #[test]
 fn waiters_of_clients_that_left_are_dropped() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -50,11 +49,11 @@
     assert_eq!(
         send_targets(&end_attempt(&mut router, START + MS, 1, 1, Outcome::Ok, MS)).len(),
         1,
-        "who stays is served"
+        "the remaining client is served"
     );
 }
 
-/// Large values: a slow reader held the origin's slot and the reads that waited for the fetch.
+/// A slow client must not occupy the origin's window slot or delay the reads that wait for the fetch.
 #[test]
 fn started_reply_frees_its_window_slot_and_resumes_waiters() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -66,7 +65,7 @@
     assert_eq!(router.snapshot().in_flight_attempts, 1, "one fetch for both");
     let now = START + 50 * MS;
     let started = handle(&mut router, now, Event::ReplyStarted { id: 1, attempt: 1, took: Some(49 * MS) });
-    assert_eq!(send_targets(&started), home, "the one that waited finds it in the cache");
+    assert_eq!(send_targets(&started), home, "the waiting read goes to the cache");
     let count_admitted_writes = |router: &mut Router, id: RequestId| {
         let admitted = (id..).take_while(|&id| {
             let request = at_most_once_write(id, now);
@@ -78,9 +77,9 @@
     assert_eq!(
         count_admitted_writes(&mut router, 100),
         count_admitted_writes(&mut fresh, 100),
-        "its slot is free"
+        "the window slot was freed"
     );
-    // It ends long after the request's time, and nothing is done anew.
+    // The attempt ends long after the request's deadline, and causes no further actions.
     let late = now + 20 * S;
     assert_eq!(handle(&mut router, late, Event::Timer(1 << 2 | 1)), []);
     let failed =
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -4,8 +4,8 @@
 use common::*;
 use notchdoor::*;
 
-/// Hedged requests that the router sent unasked took a tenth of the capacity and saved less: a layer grants
-/// them.
+/// The router sends hedged requests only if a layer grants them, since unlimited hedging costs too much
+/// capacity.
 #[test]
 fn slow_read_is_hedged_once_and_only_after_a_grant() {
     let (mut router, _) = large_fleet(100);
@@ -21,7 +21,7 @@
                 }
             }
         }
-        assert_eq!(targets.len(), 1, "unasked");
+        assert_eq!(targets.len(), 1, "hedged without a grant");
         if granted {
             targets.extend(send_targets(&handle(&mut router, now + S, Event::HedgeGranted(id))));
             targets.extend(send_targets(&handle(&mut router, now + S, Event::HedgeGranted(id))));
@@ -30,8 +30,7 @@
     assert!(targets.len() == 2 && targets[0] != targets[1] && !targets.contains(&ORIGIN), "{targets:?}");
 }
 
-/// Malformed replies, which any server gives now and then, must neither eject caches nor drive reads to the
-/// origin.
+/// Occasional malformed replies must neither eject caches nor send reads to the origin.
 #[test]
 fn read_with_a_malformed_reply_is_retried_at_the_same_cache() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -50,14 +49,14 @@
     }
 }
 
-/// A reply that is damaged on its way says nothing of congestion, and a write must not be repeated that may
-/// not be.
+/// A malformed reply says nothing about congestion, and must not repeat a write that must not run twice.
 #[test]
 fn malformed_origin_reply_keeps_the_window_and_retries_only_repeatable_requests() {
     let mut router = new_router(settings(), &endpoints(6));
     let mut now = START;
     for id in 1..40 {
-        // In turn: a read that missed, a write whose repeat is dropped, and one that must never run twice.
+        // In turn: a read that missed, a write that servers deduplicate, and a write that must never run
+        // twice.
         let class = [0, 1, 3][id as usize % 3];
         let request = Request { write: class != 0, class: Some(class), ..read_request(id, id, now) };
         let mut targets = send_targets(&arrive(&mut router, now, request));
@@ -65,12 +64,12 @@
         if class == 0 {
             targets = send_targets(&end_attempt(&mut router, now, id, 0, Outcome::Miss, MS));
         }
-        assert_eq!(targets, [ORIGIN], "{id}: the window is as it was");
+        assert_eq!(targets, [ORIGIN], "{id}: the window was cut");
         now += 30 * MS;
         let n = u32::from(class == 0);
         let actions = end_attempt(&mut router, now, id, n, Outcome::MalformedReply, 30 * MS);
         match class {
-            0 => assert_eq!(send_targets(&actions), [home], "what was fetched has been stored"),
+            0 => assert_eq!(send_targets(&actions), [home], "the fetched value was stored in the cache"),
             1 => assert_eq!(send_targets(&actions), [ORIGIN]),
             _ => assert_eq!(actions, [Action::Fail { id }]),
         }
@@ -81,7 +80,7 @@
     }
 }
 
-/// One broken connection must not drive a read from the cache that holds its key to the origin.
+/// One broken connection must not send a read from the cache that has its key to the origin.
 #[test]
 fn read_with_a_reset_connection_is_retried_at_the_same_cache_first() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -90,8 +89,8 @@
     assert_eq!(send_targets(&end_attempt(&mut router, START + 2 * MS, 1, 1, Outcome::Reset, MS)), [ORIGIN]);
 }
 
-/// Single broken connections neither cut the window nor end reads and idempotent writes. A server whose
-/// connections break one after the other still cuts it.
+/// Single broken connections must neither cut the window nor end idempotent requests; repeated failures still
+/// cut it.
 #[test]
 fn single_reset_at_the_origin_is_retried_without_a_cut() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -111,17 +110,17 @@
     assert_eq!(
         write_then_retry(&mut router, 11, Outcome::Ok),
         (true, false, false),
-        "nothing was cut: 10 is out again"
+        "the window was not cut: write 10 is in flight again"
     );
     let first_not_sent = (12..30).find(|&id| !write_then_retry(&mut router, id, Outcome::Error).0);
     assert!(
         first_not_sent.is_some_and(|id| id > 13),
-        "the window is cut to the one that is out once most of them fail"
+        "the window is cut to the one write in flight once most writes fail"
     );
 }
 
-/// A single refused connection neither cuts the window nor ends a write: what never ran may be sent again
-/// whatever its class.
+/// A single refused connection must neither cut the window nor end a write: an attempt that never ran may be
+/// repeated for any class.
 #[test]
 fn single_refused_connection_at_the_origin_is_retried_for_any_class() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -136,7 +135,7 @@
                 [ORIGIN]
             );
             end_attempt(&mut router, now, id, 1, Outcome::Ok, 0);
-            // Room for two shows that nothing was cut.
+            // Capacity for a second write shows that the window was not cut.
             assert!(run_write(&mut router, 100 + id, now, 0, Outcome::Ok));
         } else {
             end_attempt(&mut router, now, id, 0, Outcome::Ok, 30 * MS);
@@ -144,7 +143,7 @@
     }
 }
 
-/// A retry may wait for its connection for as long as its server would drop it as a repeat, and no longer.
+/// A retry may wait for a connection only as long as the server would still drop it as a repeat.
 #[test]
 fn retry_must_begin_within_the_deduplication_window() {
     let mut router = new_router(settings(), &endpoints(4));
@@ -156,13 +155,13 @@
     assert_eq!(
         begin_by_of(&arrive(&mut router, START, request)),
         Some(START + 2 * S),
-        "the first: while its client waits"
+        "the first attempt may start until the client's deadline"
     );
     let after_reset = end_attempt(&mut router, START + 100 * MS, 1, 0, Outcome::Reset, 100 * MS);
     assert_eq!(begin_by_of(&after_reset), Some(START + 800 * MS));
 }
 
-/// A host that stops can wait for nothing more: what is open is answered as the rules allow, and cancelled.
+/// A host that shuts down answers open requests as the retry rules allow, and cancels their cache reads.
 #[test]
 fn answer_now_gives_one_final_answer_and_cancels_cache_reads() {
     let mut router = new_router(settings(), &endpoints(4));
@@ -171,7 +170,10 @@
     arrive(&mut router, START, write);
     let read = handle(&mut router, START + MS, Event::AnswerNow(1));
     assert!(is_rejected(&read) && read.contains(&Action::Cancel { id: 1, attempt: 0 }), "{read:?}");
-    // It may have run: to come again would not be harmless.
+    // The write may have run, so a rejection, which invites a retry, would be wrong.
     assert_eq!(handle(&mut router, START + MS, Event::AnswerNow(2)), [Action::Fail { id: 2 }]);
-    assert!(handle(&mut router, START + MS, Event::AnswerNow(1)).is_empty(), "one answer");
+    assert!(
+        handle(&mut router, START + MS, Event::AnswerNow(1)).is_empty(),
+        "a request is answered only once"
+    );
 }
--- a/tests/robustness.rs
+++ b/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Bounds on what is kept, and odd input that must do no harm.
+//! Bounds on stored state, and unusual or invalid input.
 
 mod common;
 use common::*;
@@ -39,13 +39,13 @@
     handle(&mut router, START, Event::EndpointList(&replacement));
     assert!(
         send_targets(&arrive(&mut router, START, read_request(3, 5, START)))[0] >= 2000,
-        "the whole fleet was replaced"
+        "expected a server of the replacement fleet"
     );
     handle(&mut router, START, Event::EndpointList(&[]));
     assert!(is_rejected(&arrive(&mut router, START, read_request(4, 5, START))));
 }
 
-/// Finding 1: a record was kept of every server ever listed, and each pass over the fleet took longer.
+/// Records must not accumulate as servers are replaced, since each weight update visits all of them.
 #[test]
 fn records_of_gone_servers_are_reused() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -55,7 +55,8 @@
         let fresh = Endpoint { started_at: now, ..endpoint(1_000 + n) };
         let gone = Endpoint { state: ServerState::Gone, ..endpoint(999 + n) };
         handle(&mut router, now, Event::EndpointUpdate(&[fresh, gone]));
-        // One attempt is out at each while it goes: its place is not another's before that has ended.
+        // One attempt is outstanding at a server while it is removed; its record must not be reused before
+        // that ends.
         let id = u64::from(n) + 1;
         if send_targets(&arrive(&mut router, now, read_request(id, key_hash(&n.to_le_bytes()), now))).len()
             == 1
@@ -64,9 +65,9 @@
         }
     }
     let snapshot = router.snapshot();
-    assert!(snapshot.servers <= 6 + 1 + 4, "{} records of 8 servers", snapshot.servers);
+    assert!(snapshot.servers <= 6 + 1 + 4, "{} records for 8 servers", snapshot.servers);
     assert_eq!((snapshot.in_flight_requests, snapshot.in_flight_attempts), (0, 0));
-    // Placements are those of a proxy that has just started.
+    // Placement must match that of a router that has just started.
     let list: Vec<Endpoint> = (0..6).chain([ORIGIN, 20_999]).map(endpoint).collect();
     handle(&mut router, now + 60 * S, Event::EndpointList(&list));
     let mut fresh = common::new_router(settings(), &list);
@@ -82,7 +83,7 @@
     }
 }
 
-/// A server's record stays its own while an attempt of a request in flight names it.
+/// A record must not be reused while an attempt of an in-flight request refers to it.
 #[test]
 fn late_outcomes_of_a_gone_server_do_not_affect_its_successor() {
     let mut router = new_router(settings(), &endpoints(6));
@@ -100,10 +101,10 @@
     let targets = keys
         .zip(1_000..)
         .map(|(key, id)| send_targets(&arrive(&mut router, START + S, read_request(id, key, START))));
-    assert!(targets.flatten().any(|s| s == 500), "a new server pays for what its place's last one did");
+    assert!(targets.flatten().any(|s| s == 500), "the new server inherited the failures of the gone one");
 }
 
-/// Finding 3: a key that was asked for once was counted all the same, however many there were.
+/// Keys that are read once must not accumulate.
 #[test]
 fn number_of_counted_keys_is_bounded() {
     let mut router = new_router(Settings { max_in_flight: 100, ..settings() }, &endpoints(6));
@@ -111,11 +112,10 @@
         arrive(&mut router, START, read_request(id, id, START));
         handle(&mut router, START, Event::ClientLeft(id));
     }
-    assert!(router.snapshot().counted_keys <= 200, "{} keys are counted", router.snapshot().counted_keys);
+    assert!(router.snapshot().counted_keys <= 200, "{} keys counted", router.snapshot().counted_keys);
 }
 
-/// Finding 4: a server listed with next to no size had a hot key spread over more servers than a number
-/// holds.
+/// A tiny size must not overflow the number of caches that serve a hot key.
 #[test]
 fn extreme_endpoint_sizes_are_handled() {
     let sizes = [1e-300, 1e308, 1e308, -1.0, 0.0, f64::MIN_POSITIVE];
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -25,11 +25,12 @@
         cold_sends
     };
     let warm = run_reads(&mut router, &mut now, 5, false);
-    assert!(warm > 50, "server 0 takes a fifth of 500 reads while warm: {warm}");
+    assert!(warm > 50, "the warm server 0 got only {warm} of 500 reads");
     for hot in [false, true] {
         list[0].started_at = now;
         handle(&mut router, now, Event::EndpointList(&list));
-        // Two seconds of 100 reads a second over five servers: a tenth of 40 is 4, and the ramp adds a few.
+        // 2 s at 100 reads per second over five servers: a tenth of the fair share of 40 is 4, plus a few as
+        // the server warms up.
         let cold = run_reads(&mut router, &mut now, 2, hot);
         assert!(cold <= 12, "a cold server was sent {cold} reads (hot key: {hot})");
     }
@@ -40,7 +41,8 @@
     let mut list = endpoints(50);
     let mut routers = proxy_fleet(200, &list);
     let mut id = 0;
-    // Each proxy gets five reads a second: a thousand in all, of which server 0 takes twenty while warm.
+    // Sends five reads per second at each proxy, 1000 in all, of which server 0 gets 20 when warm. Returns
+    // the reads sent to server 0.
     let mut run_second = |routers: &mut Vec<Router>, from: Micros| -> u32 {
         let mut reads_at_0 = 0;
         for step in 0..5 {
@@ -69,23 +71,23 @@
         let capacity = 20.0 * (0.1 + 0.9 * s as f64 / 20.0);
         assert!(
             f64::from(cold) <= 3.0 * capacity,
-            "second {s}: {cold} sent to a server that can do {capacity}"
+            "second {s}: {cold} reads sent to a server with a capacity of {capacity}"
         );
         total += cold;
     }
-    // With budgets that start at nothing no proxy would earn a send while the server is cold.
-    assert!(total >= 1, "the cold server is left out");
+    // Budgets that start at zero would never admit a read to the cold server.
+    assert!(total >= 1, "the cold server got no reads");
 }
 
-/// In a mass replacement a fleet that held its new caches back would overload the few warm ones; each proxy
-/// reads from a warming cache about once in seconds.
+/// Holding reads back from many new caches would overload the few warm ones. Each proxy reads from one
+/// warming cache only about once in several seconds.
 #[test]
 fn many_replaced_caches_get_their_weight_share_of_sparse_reads() {
     let mut list = endpoints(50);
     let mut routers = proxy_fleet(200, &list);
     let mut id = 0;
-    // Five reads a second at each proxy, all hits. Gives the reads that went to servers 0 to 29 and what
-    // their weight had them take.
+    // Sends five reads per second at each proxy, all hits. Returns the reads sent to servers 0 to 29 and the
+    // reads expected from their weight.
     let mut run_second = |routers: &mut Vec<Router>, from: Micros, capacity_share: f64| -> (u32, f64) {
         let (mut to_cold, mut expected_reads) = (0, 0.0);
         for step in 0..5 {
@@ -115,30 +117,30 @@
     }
     let (mut total, mut total_expected) = (0, 0.0);
     for s in 0..5u64 {
-        // Mid-second, as the ramp has it: the weight is of when each read ranks its servers.
+        // The capacity share at the middle of the second.
         let capacity_share = 0.1 + 0.9 * (s as f64 + 0.5) / 20.0;
         let (cold, expected_reads) = run_second(&mut routers, start + s * S, capacity_share);
         assert!(
             f64::from(cold) <= 1.5 * expected_reads,
-            "second {s}: {cold} to cold caches whose weight is {expected_reads:.0}"
+            "second {s}: cold caches got {cold} reads, expected {expected_reads:.0} by weight"
         );
         (total, total_expected) = (total + cold, total_expected + expected_reads);
     }
-    // A saving of one send let some half through.
+    // A token bucket of depth one would admit only about half of the expected reads.
     assert!(
         f64::from(total) >= 0.8 * total_expected,
-        "cold caches took {total} of the {total_expected:.0} that their weight is"
+        "cold caches got {total} reads, expected {total_expected:.0} by weight"
     );
 }
 
-/// Where all caches were replaced and hardly any hit is left to tell what caches bear, warming ones that
-/// answered their few hits in 40 ms were sent less and less.
+/// With all caches replaced there are few hits to derive a budget from, so caches that answer quickly must
+/// get more reads than the hit rate alone allows.
 #[test]
 fn fully_warming_fleet_takes_what_its_answer_times_allow() {
     let mut list = endpoints(9);
     let mut router = new_router(settings(), &list);
     let mut now = START;
-    // Reads of one second at caches of which so many are empty but for every sixteenth key; how many went to
+    // Sends reads for one second. Servers below `empty` only have every 16th key. Returns the reads sent to
     // those.
     let mut run_second = |router: &mut Router, empty: u32| {
         let mut to_empty = 0;
@@ -163,12 +165,12 @@
     }
     handle(&mut router, START + 4 * S, Event::EndpointUpdate(&list));
     let cold: Vec<u32> = (0..8).map(|_| run_second(&mut router, 9)).collect();
-    // Each bears 25 a second at the least, half of them from this proxy: all nine 112.
-    assert!(cold[7] >= 90, "cold caches took {cold:?} reads a second of 300");
+    // Each cache handles at least 25 reads per second, half of them from this proxy: 112 for all nine.
+    assert!(cold[7] >= 90, "cold caches got {cold:?} of 300 reads in each second");
 }
 
-/// A fleet whose warming caches may not take a read yet, and whose warm ones are full, must not reject what
-/// the origin has capacity for: the rejected come again, and the caches stay cold.
+/// If warming caches may take no reads and the warm ones are at capacity, reads must use the origin's
+/// capacity. Rejecting them would keep the caches cold, since rejected reads are retried.
 #[test]
 fn reads_that_no_cache_may_take_go_to_the_origin_within_its_window() {
     let mut list = endpoints(9);
@@ -178,7 +180,7 @@
         endpoint.started_at = now;
     }
     handle(&mut router, now, Event::EndpointUpdate(&list));
-    // The one warm cache has all that it can take; nothing is known of the cold ones.
+    // The only warm cache is at capacity; there are no statistics about the cold ones.
     let mut id = 0;
     let mut send_reads = |router: &mut Router, count: u64| -> (usize, usize) {
         let (mut sent_to_origin, mut rejections) = (0, 0);
@@ -191,25 +193,26 @@
         (sent_to_origin, rejections)
     };
     let (sent_to_origin, _) = send_reads(&mut router, 20);
-    assert!(sent_to_origin >= 3, "the origin was sent {sent_to_origin} of 20 reads that no cache took");
-    // And no more than reads may have of its window, a share of the starting eight.
+    assert!(sent_to_origin >= 3, "the origin was sent {sent_to_origin} of 20 reads that no cache could take");
+    // Reads may use only their share of the origin's initial window of 8.
     let (more_sent_to_origin, rejections) = send_reads(&mut router, 200);
     assert!(
         sent_to_origin + more_sent_to_origin <= 5,
         "the origin was sent {} reads at once",
         sent_to_origin + more_sent_to_origin
     );
-    assert!(rejections >= 180, "of 200 reads {rejections} were refused");
+    assert!(rejections >= 180, "only {rejections} of 200 reads rejected");
 }
 
-/// A read that its warming cache could not take was offered to every other one in turn: each had a little of
-/// all keys, and kept hardly any of them long.
+/// A read denied by its warming cache must not be offered to every other cache, or each would get a few reads
+/// of every key and keep none of them cached.
 #[test]
 fn key_stays_at_one_cache_of_a_fully_warming_fleet() {
     let mut list = endpoints(9);
     let mut router = new_router(settings(), &list);
     let (mut now, mut id) = (START, 0);
-    // Reads of a second, all of which hit, or every sixteenth; where each key's went.
+    // Sends reads for one second, of which one in `hits` hits, and records the caches that each key was sent
+    // to.
     let mut run_second =
         |router: &mut Router, hits: u64, caches_by_key: &mut BTreeMap<Key, BTreeSet<ServerId>>| {
             for _ in 0..300 {
@@ -232,12 +235,12 @@
     handle(&mut router, START + 4 * S, Event::EndpointUpdate(&list));
     let mut caches_by_key = BTreeMap::new();
     (0..8).for_each(|_| run_second(&mut router, 16, &mut caches_by_key));
-    // All warm up alike, so that a key's home is the same throughout.
+    // All caches warm up alike, so a key's best-ranked cache does not change.
     let caches_per_key: Vec<usize> = caches_by_key.values().map(BTreeSet::len).filter(|n| *n > 0).collect();
     let spread_keys = caches_per_key.iter().filter(|n| **n > 1).count();
     assert!(
         caches_per_key.len() > 200 && spread_keys == 0,
-        "of {} keys {spread_keys} were taken by several caches",
+        "of {} keys {spread_keys} were sent to several caches",
         caches_per_key.len()
     );
 }
--- a/tests/tenant_quotas.rs
+++ b/tests/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! Admission by tenant quota: who is rejected first under contention, and that nobody is without it.
+//! Admission by tenant quota: who is rejected first under contention, and no rejections without it.
 
 mod common;
 use common::*;
@@ -21,7 +21,7 @@
     Request { tenant, ..at_most_once_write(id, now) }
 }
 
-/// Whether the read was sent; it is then answered at once.
+/// Returns whether the read was sent; if so, it is answered after [`MS`].
 fn is_served(router: &mut Router, now: Micros, request: Request) -> bool {
     let id = request.id;
     let sent_to_any = !send_targets(&arrive(router, now, request)).is_empty();
@@ -31,8 +31,8 @@
     sent_to_any
 }
 
-/// A router whose origin's window has no room: requests within quota are lost there, so that all but nothing
-/// beyond quota is admitted. Uses the ids from 1,000,000 on.
+/// Returns a router whose origin window is full, so that requests within quota are lost there and nearly none
+/// beyond quota are admitted. Uses request ids from 1,000,000 on.
 fn contended_router(settings: Settings) -> Router {
     let mut router = new_router(settings, &endpoints(6));
     for id in 1_000_000..1_000_100 {
@@ -41,7 +41,7 @@
     router
 }
 
-/// Spends what a tenant has saved up, with reads that are all within its quota.
+/// Uses up the tenant's saved tokens with reads; returns how many were within quota.
 fn spend_burst(router: &mut Router, tenant: u32, first_id: RequestId, now: Micros) -> u64 {
     (0..)
         .take_while(|n| {
@@ -64,13 +64,13 @@
     let mut router = contended_router(settings_with_tenants(1, &[10.0, 10.0]));
     let (mut over_quota, mut within_quota) = (0, 0);
     for id in 1..=1000 {
-        // Two hundred a second of one tenant, five of the other, on caches that have room.
+        // One tenant sends 200 reads per second, the other 5, to caches with free capacity.
         let now = START + id * 5 * MS;
         over_quota += u64::from(is_served(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)));
         if id % 40 == 0 {
             within_quota += 1;
             assert!(is_served(&mut router, now, tenant_read(Some(WITHIN_QUOTA), 10_000 + id, now)), "{id}");
-            // The origin is as full as it was: a request within quota is lost again and again.
+            // Writes without a tenant are lost at the full origin window, which keeps up the contention.
             for n in 0..10 {
                 assert!(is_rejected(&arrive(
                     &mut router,
@@ -82,7 +82,7 @@
     }
     let counts = router.snapshot();
     assert_eq!(within_quota, 25);
-    // Its quota over five seconds is fifty, and twenty were saved up.
+    // The quota allows 50 in 5 s, and the bucket starts with 20 tokens.
     assert!((69..=71).contains(&(counts.admitted_within_quota - within_quota)), "{counts:?}");
     assert!(over_quota <= 71 + counts.admitted_beyond_quota);
     assert!(counts.rejected_by_quota > 800, "{counts:?}");
@@ -91,7 +91,7 @@
 #[test]
 fn requests_beyond_quota_are_admitted_without_contention() {
     let mut router = new_router(settings_with_tenants(1, &[10.0, 10.0]), &endpoints(6));
-    // Three times its quota for a minute.
+    // Three times the quota, for a minute.
     for id in 1..=1800 {
         let now = START + id * S / 30;
         assert!(is_served(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)), "{id}");
@@ -101,12 +101,13 @@
     assert!(counts.admitted_beyond_quota > 1000, "{counts:?}");
 }
 
-/// One worker at the origin, 20 ms a write: fifty a second. Writes of both tenants come evenly spaced.
+/// An origin that processes one write at a time, 20 ms each, so 50 per second. The writes of both tenants are
+/// evenly spaced.
 struct OriginUnderLoad {
     router: Router,
     now: Micros,
     next_id: RequestId,
-    /// Requests at the origin and when each is done, in order.
+    /// Requests at the origin in order, with the time at which each is done.
     queue: VecDeque<(RequestId, Micros)>,
 }
 
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Whether a write of the tenant is sent.
+    /// Sends a write of the tenant; returns whether it was admitted.
     fn write(&mut self, tenant: u32) -> bool {
         self.next_id += 1;
         let request = tenant_write(Some(tenant), self.next_id, self.now);
@@ -137,8 +138,8 @@
         admitted
     }
 
-    /// Plays `span` with so many writes a second of the greedy and the modest tenant; whether each of the
-    /// modest one's was sent.
+    /// Runs for `span` with the given writes per second of each tenant. Returns the number of writes sent for
+    /// [`OVER_QUOTA`], and whether each write of [`WITHIN_QUOTA`] was sent.
     fn run(&mut self, span: Micros, over_quota_per_s: u64, within_quota_per_s: u64) -> (u64, Vec<bool>) {
         let until = self.now + span;
         let (mut over_quota_sent, mut within_quota_sent) = (0, Vec::new());
@@ -168,8 +169,7 @@
     sent.iter().filter(|sent| **sent).count()
 }
 
-/// The admission probability climbs until a request within quota is lost: a few of them are the price of
-/// knowing how much there is room for.
+/// A few requests within quota are lost, since the admission probability rises until that happens.
 #[test]
 fn tenant_within_quota_is_served_while_another_overloads_the_origin() {
     let served_share = |settings| {
@@ -178,22 +178,22 @@
     };
     let (over_quota, within_quota) = served_share(settings_with_tenants(1, &[20.0, 20.0]));
     let (_, unprotected) = served_share(settings());
-    assert!(within_quota > 0.85, "{within_quota}");
-    assert!(unprotected < 0.1, "{unprotected}: nothing was to be protected from");
-    assert!(over_quota >= 60 * 20, "{over_quota}: its own quota is served");
+    assert!(within_quota > 0.85, "share served within quota: {within_quota}");
+    assert!(unprotected < 0.1, "share served without quotas: {unprotected}");
+    assert!(over_quota >= 60 * 20, "only {over_quota} writes served of a quota of 1200");
 }
 
-/// What an idle tenant leaves is lent, and comes back within its first hundred requests.
+/// Unused quota is available to others, and to its tenant again within its first 100 requests.
 #[test]
 fn unused_quota_of_an_idle_tenant_is_usable_until_it_sends_again() {
     let mut load = OriginUnderLoad::new(settings_with_tenants(1, &[20.0, 20.0]));
     let (borrowed, _) = load.run(20 * S, 45, 0);
-    assert!(borrowed >= 20 * 40, "{borrowed}: more than twice its quota while nobody else asks");
+    assert!(borrowed >= 20 * 40, "only {borrowed} writes served while the other tenant is idle");
     let (_, within_quota) = load.run(30 * S, 45, 18);
     let after_first_100 = &within_quota[100..];
     assert!(
         count(after_first_100) * 100 >= after_first_100.len() * 95,
-        "{} of {}",
+        "only {} of {} writes served",
         count(after_first_100),
         after_first_100.len()
     );
@@ -201,7 +201,7 @@
 
 #[test]
 fn quotas_scale_at_a_proxy_with_three_times_the_mean_traffic() {
-    // Ten proxies: the even part of each tenant's quota is ten a second, and thirty come here.
+    // With ten proxies, the even share of each quota is 10 per second; 30 arrive here.
     let mut router = new_router(settings_with_tenants(10, &[100.0; 5]), &endpoints(6));
     let mut id = 0;
     let mut beyond_at = |second: u64| {
@@ -216,9 +216,9 @@
         router.snapshot().admitted_beyond_quota - before
     };
     let beyond: Vec<u64> = (0..60).map(&mut beyond_at).collect();
-    // The rate is averaged over five seconds: after four of those it is told to within a fiftieth.
+    // Rates are averaged over 5 s; after 20 s they are within 2 % of the true rate.
     let settled: u64 = beyond[20..].iter().sum();
-    assert!(settled * 50 <= 40 * 150, "{settled} of 6000 taken for excess");
+    assert!(settled * 50 <= 40 * 150, "{settled} of 6000 requests counted as beyond quota");
 }
 
 #[test]
@@ -235,7 +235,7 @@
             }
         }
     }
-    // Thirty seconds at forty a second, of which ten a second and the twenty saved up are within quota.
+    // 30 s at 40 per second, of which 10 per second and the initial 20 tokens are within quota.
     let counts = router.snapshot();
     assert!((870..=890).contains(&counts.admitted_beyond_quota), "{counts:?}");
 }
@@ -255,7 +255,7 @@
         (1..=100).map(|id| retry_after(&arrive(&mut full, now, tenant_read(Some(0), id, now)))).collect();
     assert!(
         retry_after_values.iter().all(|value| *value == Some(settings().max_retry_after)),
-        "no token ever comes"
+        "a quota of 0 never refills"
     );
 }
 
@@ -268,25 +268,25 @@
             assert!(is_served(&mut router, now, tenant_read(tenant, id, now)), "{tenant:?} {id}");
         }
         assert_eq!(router.snapshot().rejected_by_quota, 0);
-        assert_eq!(router.snapshot().admitted_within_quota, 0, "none of a known tenant");
+        assert_eq!(router.snapshot().admitted_within_quota, 0, "no request of a known tenant");
     }
 }
 
 #[test]
 fn quota_rejection_returns_the_token_interval_and_keeps_no_state() {
-    // A token each 250 ms.
+    // One token per 250 ms.
     let mut router = contended_router(settings_with_tenants(1, &[4.0, 4.0]));
     let initial = router.in_flight();
     let now = START + S;
-    assert_eq!(spend_burst(&mut router, OVER_QUOTA, 1, now), 8, "two seconds of its quota");
+    assert_eq!(spend_burst(&mut router, OVER_QUOTA, 1, now), 8, "the burst is two seconds of quota");
     let spent = router.in_flight();
     for (id, class) in (1000..).zip([0, 1, 2, 3]) {
         let request =
             Request { class: Some(class), write: class > 0, ..tenant_read(Some(OVER_QUOTA), id, now) };
         let actions = arrive(&mut router, now, request);
-        let advice = retry_after(&actions).expect("rejected, whatever the class");
+        let advice = retry_after(&actions).expect("rejected for any class");
         assert!((250 * MS..=S).contains(&advice), "{advice}");
-        assert_eq!(actions.len(), 1, "no timer and no attempt: {actions:?}");
+        assert_eq!(actions.len(), 1, "expected neither timer nor attempt: {actions:?}");
     }
     assert_eq!(router.in_flight(), spent);
     assert!(spent.requests > initial.requests);
@@ -294,17 +294,17 @@
 
 #[test]
 fn retry_after_of_a_quota_rejection_is_bounded() {
-    // The next token is ten seconds off, or a tenth of a millisecond.
+    // The next token is due in 10 s, or in 0.1 ms.
     for (quota, min_advice) in [(0.1, S), (10_000.0, MS)] {
         let mut router = contended_router(settings_with_tenants(1, &[quota, 1.0]));
         let burst = spend_burst(&mut router, 0, 1, START + S);
         let actions = arrive(&mut router, START + S, tenant_read(Some(0), burst + 2, START + S));
-        let advice = retry_after(&actions).expect("beyond quota, under contention");
+        let advice = retry_after(&actions).expect("rejected beyond quota");
         assert!((min_advice..=S).contains(&advice), "{quota}: {advice}");
     }
     let none = Settings { max_retry_after: 0, ..settings_with_tenants(1, &[0.0]) };
     let actions = arrive(&mut contended_router(none), START, tenant_read(Some(0), 1, START));
-    assert_eq!(retry_after(&actions), Some(0), "clients get no advice");
+    assert_eq!(retry_after(&actions), Some(0), "no Retry-After if the maximum is 0");
 }
 
 #[test]
@@ -316,7 +316,7 @@
             let quotas: Vec<f64> = [quota].iter().chain(other_quotas).copied().collect();
             let mut router = contended_router(settings_with_tenants(0, &quotas));
             for id in 1..=2000u64 {
-                // Ten at each moment.
+                // Ten requests at each timestamp.
                 let now = START + id / 10 * 30 * MS;
                 let tenant = (id % quotas.len() as u64) as u32;
                 let actions = arrive(&mut router, now, tenant_read(Some(tenant), id, now));
@@ -331,7 +331,10 @@
                 counts.admitted_within_quota + counts.admitted_beyond_quota + counts.rejected_by_quota;
             assert_eq!(total, 2000);
             if quota.is_nan() || quota > 1e9 {
-                assert!(counts.admitted_within_quota >= 2000 / quotas.len() as u64, "it limits nothing");
+                assert!(
+                    counts.admitted_within_quota >= 2000 / quotas.len() as u64,
+                    "an unlimited quota admits everything"
+                );
             }
         }
     }
@@ -356,21 +359,21 @@
         for n in 0..20 {
             assert!(is_rejected(&arrive(&mut router, now, tenant_write(None, 500_000 + step * 20 + n, now))));
         }
-        // The last tenant asks for fifty a second, the others for their five.
+        // The last tenant sends 50 per second, the others 5, which is their quota.
         last_tenant_within += (0..5).map(|_| send_read(&mut router, 999).1).sum::<u64>();
     }
     assert!(started.elapsed().as_secs() < 10, "{:?}", started.elapsed());
-    // Ten saved up, and five a second for five seconds.
+    // Ten initial tokens, and five per second for 5 s.
     assert!((34..=35).contains(&last_tenant_within), "{last_tenant_within}");
     assert!(router.snapshot().rejected_by_quota > 0);
-    assert_eq!(router.in_flight().requests, 8, "the writes that hold the origin's window");
+    assert_eq!(router.in_flight().requests, 8, "only the writes that fill the origin's window");
 }
 
 #[test]
 fn requests_beyond_quota_are_admitted_again_after_contention() {
     let mut router = contended_router(settings_with_tenants(1, &[1.0, 1000.0]));
     let mut now = START;
-    // Each of the modest tenant's served requests adds a two-hundredth.
+    // Each served request within quota adds 0.005 to the admission probability.
     for id in 1..=200 {
         now += 10 * MS;
         assert!(is_served(&mut router, now, tenant_read(Some(WITHIN_QUOTA), id, now)));
@@ -382,7 +385,7 @@
     assert!(router.snapshot().admitted_beyond_quota > 400);
 }
 
-/// A client that leaves, and a host that stops, tell nothing of contention.
+/// A client that leaves and a host that shuts down are no signs of contention.
 #[test]
 fn departed_clients_and_host_shutdown_are_not_contention() {
     let closing_events: [fn(RequestId) -> Event<'static>; 2] = [Event::ClientLeft, Event::AnswerNow];
@@ -403,7 +406,7 @@
     }
 }
 
-/// Reproducible numbers for the tests: a linear congruential generator (Knuth's MMIX constants).
+/// A reproducible generator: a linear congruential generator with Knuth's MMIX constants.
 struct Lcg(u64);
 
 impl Lcg {
@@ -413,11 +416,11 @@
     }
 }
 
-/// The even part of each tenant's quota, in tokens a second.
+/// The even share of each tenant's quota, in tokens per second.
 const QUOTA_PER_PROXY: [f64; 4] = [20.0, 5.0, 1.0, 50.0];
 
-/// Plays a random pattern of four tenants, of which some flood and retry at once when rejected, and says by
-/// how many requests at most any tenant was behind what a bucket of its own gives, whatever the others do.
+/// Runs a random pattern of four tenants, some of which send bursts of retries. Returns the largest number of
+/// requests by which any tenant fell short of what its own token bucket would allow.
 fn max_shortfall(seed: u64, mut counts_within_quota: impl FnMut(Micros, u32) -> bool) -> i64 {
     let mut random = Lcg(seed);
     let mut tokens: Vec<f64> =
@@ -429,14 +432,14 @@
     for _ in 0..1500 {
         now += random.below(60 * MS);
         let tenant = random.below(4) as usize;
-        // A burst of retries from time to time: each rejected request comes again at once.
+        // An occasional burst: each rejected request is retried at once.
         let requests = if random.below(10) == 0 { 1 + random.below(60) } else { 1 };
         for _ in 0..requests {
             let depth = (QUOTA_PER_PROXY[tenant] * 2.0).max(4.0);
             let elapsed = (now - last_request_at[tenant]) as f64 / 1e6;
             last_request_at[tenant] = now;
             tokens[tenant] = (tokens[tenant] + elapsed * QUOTA_PER_PROXY[tenant]).min(depth);
-            // The rounding of two sums that differ in their steps is no shortfall.
+            // Tolerate rounding differences between the two ways of summing.
             if tokens[tenant] >= 1.0 + 1e-9 {
                 tokens[tenant] -= 1.0;
                 balance[tenant] -= 1;
@@ -466,7 +469,8 @@
     }
 }
 
-/// The check above is worth something: with one bucket for all, a tenant's flood is at the others' cost.
+/// Verifies the check itself: with one bucket for all tenants, a burst of one tenant takes tokens from the
+/// others.
 #[test]
 fn shortfall_check_detects_a_shared_token_bucket() {
     let found = (0..40).filter(|&seed| {
@@ -484,11 +488,11 @@
     assert!(found.count() >= 30);
 }
 
-/// Days without tenants, or without contention, go on as they did: no number of the generator is spent.
+/// Without contention no random number may be drawn for quotas, so decisions stay the same.
 #[test]
 fn quotas_do_not_change_decisions_without_contention() {
     let actions_with = |settings: Settings| {
-        // The pause after a failed call to discovery is drawn from the generator.
+        // The delay after a failed call to discovery depends on the state of the random number generator.
         let discovery = Discovery::OnRequest { poll_interval: 10 * S };
         let mut router = new_router(Settings { discovery, ..settings }, &endpoints(6));
         let mut all = Vec::new();
