--- a/lab/src/day/world.rs
+++ b/lab/src/day/world.rs
@@ -331,7 +331,7 @@
         over_quota_weight: r.over_share_worth,
         origin_kind: Some(ORIGIN_KIND),
         discovery: Discovery::OnRequest { poll_interval: secs(spec.discovery.ask_every_s) },
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: r.max_attempts,
         hedging: r.second_copies,
         may_cancel: r.may_cancel,
--- a/lab/tests/judgement.rs
+++ b/lab/tests/judgement.rs
@@ -34,7 +34,7 @@
         over_quota_weight: 0.1,
         origin_kind: Some(2),
         discovery: Discovery::Pushed,
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: 3,
         hedging: second_copies,
         may_cancel: true,
--- a/limits/tests/common/mod.rs
+++ b/limits/tests/common/mod.rs
@@ -22,7 +22,7 @@
         over_quota_weight: 0.05,
         origin_kind: Some(2),
         discovery: Discovery::Pushed,
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: 3,
         hedging: true,
         may_cancel: true,
--- a/proxy/src/proxy/tests.rs
+++ b/proxy/src/proxy/tests.rs
@@ -24,7 +24,7 @@
         over_quota_weight: 0.1,
         origin_kind: Some(1),
         discovery: Discovery::OnRequest { poll_interval: 10 * S },
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: 3,
         hedging: true,
         may_cancel: true,
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -221,7 +221,7 @@
                 How::Pushed => Discovery::Pushed,
                 How::OnRequest => Discovery::OnRequest { poll_interval: micros(obligations.ask_every) },
             },
-            sizes_are_live: self.weight_kind == "live",
+            sizes_vary_with_load: self.weight_kind == "live",
             max_attempts: limits.max_attempts,
             hedging: limits.second_copies,
             may_cancel: limits.may_cancel,
--- a/settings/tests/decoding.rs
+++ b/settings/tests/decoding.rs
@@ -46,7 +46,7 @@
         over_quota_weight: 0.05,
         origin_kind: Some(1),
         discovery: Discovery::OnRequest { poll_interval: 10_000_000 },
-        sizes_are_live: true,
+        sizes_vary_with_load: true,
         max_attempts: 3,
         hedging: true,
         may_cancel: true,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -97,7 +97,7 @@
     pub discovery: Discovery,
     /// Whether listed sizes vary with the current load. If so, the router uses the largest size seen for a
     /// server.
-    pub sizes_are_live: bool,
+    pub sizes_vary_with_load: bool,
     /// The maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether hedged requests are allowed, that is, two outstanding attempts of one request.
--- a/src/router/backends.rs
+++ b/src/router/backends.rs
@@ -87,7 +87,7 @@
         let size = self.endpoint.size;
         self.endpoint = endpoint.clone();
         // Use the peak of sizes that vary with load, or keys would move with every list.
-        if settings.sizes_are_live {
+        if settings.sizes_vary_with_load {
             self.endpoint.size = size.max(endpoint.size);
         }
     }
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -65,7 +65,7 @@
     /// Whether at least half of the origin's window is free.
     origin_half_free: bool,
     /// The number of evaluated caches that may have the key.
-    considered: usize,
+    evaluated: usize,
     /// Whether one of them was at capacity.
     overloaded: bool,
     /// The number of warming caches whose slow-start budget denied the read.
@@ -78,14 +78,13 @@
     /// tried only while at least half of the origin's window is free; otherwise its misses would overload the
     /// origin.
     fn is_complete(&self) -> bool {
-        self.considered > self.replica_count
-            || self.considered == self.replica_count && (self.best.is_some() || !self.origin_half_free)
+        self.evaluated > self.replica_count
+            || self.evaluated == self.replica_count && (self.best.is_some() || !self.origin_half_free)
     }
 
     /// Like [`Search::is_complete`], for a cache that rejected the read before and so counts as at capacity.
     fn is_complete_after_rejection(&self) -> bool {
-        self.considered > self.replica_count
-            || self.considered == self.replica_count && !self.origin_half_free
+        self.evaluated > self.replica_count || self.evaluated == self.replica_count && !self.origin_half_free
     }
 }
 
@@ -113,7 +112,7 @@
             allow_trial,
             sparse: self.reads_are_sparse(),
             origin_half_free: self.origin_window.is_half_free(),
-            considered: 0,
+            evaluated: 0,
             overloaded: false,
             slow_start_denials: 0,
             best: None,
@@ -143,7 +142,7 @@
     fn evaluate_cache(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
         if search.history.excludes(cache) {
             if search.history.rejected_by.contains(&cache) {
-                search.considered += 1;
+                search.evaluated += 1;
                 search.overloaded = true;
                 if search.is_complete_after_rejection() {
                     return Step::Stop;
@@ -162,7 +161,7 @@
             search.slow_start_denials += 1;
             return Step::Next;
         }
-        search.considered += 1;
+        search.evaluated += 1;
         self.evaluate_load(now, cache, search);
         if search.is_complete() {
             Step::Stop
@@ -191,10 +190,10 @@
         let backend = &self.backends[cache];
         // With sparse reads, a cache without recent delays is used only while the window over all caches has
         // capacity.
-        let has_usable_samples = !search.sparse
+        let usable = !search.sparse
             || backend.window.has_recent_samples(now)
             || self.all_caches_window.has_capacity(now, 1.0);
-        if !has_usable_samples || !backend.window.has_capacity(now, 1.0) {
+        if !usable || !backend.window.has_capacity(now, 1.0) {
             search.overloaded = true;
             return;
         }
--- a/tests/cache_selection.rs
+++ b/tests/cache_selection.rs
@@ -79,9 +79,9 @@
         // Every 20th read, that is one in 4 s, is of the hot key: three times a cache's fair share.
         let hot = id % 20 == 0;
         let key = if hot { 5 } else { key_hash(&id.to_le_bytes()) };
-        let to = send_targets(&arrive(&mut router, now, read_request(id, key, now)));
+        let targets = send_targets(&arrive(&mut router, now, read_request(id, key, now)));
         if hot {
-            hot_key_targets.extend(to);
+            hot_key_targets.extend(targets);
         }
         end_attempt(&mut router, now, id, 0, Outcome::Ok, 20 * MS);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
         over_quota_weight: 0.1,
         origin_kind: Some(1),
         discovery: Discovery::Pushed,
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: 3,
         hedging: true,
         may_cancel: true,
@@ -132,16 +132,16 @@
     was_sent
 }
 
-/// Returns keys whose best-ranked cache of six is `home`.
-pub fn keys_placed_on(home: ServerId, count: usize) -> Vec<Key> {
+/// Returns keys whose best-ranked cache of six is `cache`.
+pub fn keys_placed_on(cache: ServerId, count: usize) -> Vec<Key> {
     let mut probe = new_router(settings(), &endpoints(6));
-    let mut at_home = |n: &u64| {
+    let mut placed_on_cache = |n: &u64| {
         let targets =
             send_targets(&arrive(&mut probe, START, read_request(*n, key_hash(&n.to_le_bytes()), START)));
         end_attempt(&mut probe, START, *n, 0, Outcome::Ok, 0);
-        targets == [home]
+        targets == [cache]
     };
-    (1..1000u64).filter(|n| at_home(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
+    (1..1000u64).filter(|n| placed_on_cache(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
 }
 
 /// Creates a router with `n` caches; with many of them, it reads from each cache only once in many seconds.
--- a/tests/congestion_window.rs
+++ b/tests/congestion_window.rs
@@ -154,8 +154,8 @@
         let class = if write { 3 } else { 0 };
         let due = now + 10 * MS;
         let request = Request { write, class: Some(class), deadline: due, ..read_request(id, key, now) };
-        let home = if write { ORIGIN } else { 2 };
-        assert_eq!(send_targets(&arrive(&mut router, now, request)), [home], "{id}");
+        let cache = if write { ORIGIN } else { 2 };
+        assert_eq!(send_targets(&arrive(&mut router, now, request)), [cache], "{id}");
         now += 10 * MS;
         end_attempt(&mut router, now, id, 0, Outcome::Timeout, 10 * MS);
     }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -7,13 +7,13 @@
 #[test]
 fn server_missing_from_a_full_list_gets_no_attempts() {
     let mut router = new_router(settings(), &endpoints(2));
-    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)))[0];
-    let rest: Vec<Endpoint> = endpoints(2).into_iter().filter(|m| m.server != home).collect();
+    let cache = send_targets(&arrive(&mut router, START, read_request(1, 5, START)))[0];
+    let rest: Vec<Endpoint> = endpoints(2).into_iter().filter(|m| m.server != cache).collect();
     handle(&mut router, START, Event::EndpointList(&rest));
-    assert_ne!(send_targets(&arrive(&mut router, START, read_request(2, 5, START)))[0], home);
+    assert_ne!(send_targets(&arrive(&mut router, START, read_request(2, 5, START)))[0], cache);
     assert_ne!(
         send_targets(&end_attempt(&mut router, START, 1, 0, Outcome::ConnectFailed, 0)).first(),
-        Some(&home)
+        Some(&cache)
     );
 }
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -55,30 +55,30 @@
 }
 
 /// A simulated fleet that checks the rules at each action.
-struct World {
+struct SimulatedFleet {
     settings: Settings,
     router: Router,
     random: Lcg,
     now: Micros,
     queue: BTreeMap<(Micros, u64), ScheduledEvent>,
-    next_sequence: u64,
-    records: BTreeMap<RequestId, RequestRecord>,
+    sequence: u64,
+    requests: BTreeMap<RequestId, RequestRecord>,
     states: BTreeMap<ServerId, ServerState>,
     answers: u32,
 }
 
-impl World {
+impl SimulatedFleet {
     fn new(seed: u64) -> Self {
         let list = endpoints(6);
         let states = list.iter().map(|m| (m.server, m.state)).collect();
-        World {
+        SimulatedFleet {
             settings: settings(),
             router: new_router(settings(), &list),
             random: Lcg(seed),
             now: START,
             queue: BTreeMap::new(),
-            next_sequence: 0,
-            records: BTreeMap::new(),
+            sequence: 0,
+            requests: BTreeMap::new(),
             states,
             answers: 0,
         }
@@ -90,16 +90,16 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, due: ScheduledEvent) {
-        self.next_sequence += 1;
-        self.queue.insert((at, self.next_sequence), due);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.queue.insert((at, self.sequence), event);
     }
 
     fn check_action(&mut self, action: Action) {
         match action {
             Action::Send { id, server, give_up_at, .. } => self.check_send(id, server, give_up_at),
             Action::Reject { id, .. } => {
-                let record = &self.records[&id];
+                let record = &self.requests[&id];
                 let may_have_run = record.attempts.iter().any(AttemptRecord::may_have_run);
                 let allowed = match self.settings.classes[record.class].effect {
                     Effect::Idempotent | Effect::Deduplicated { scope: Scope::All, .. } => true,
@@ -117,7 +117,7 @@
     fn check_send(&mut self, id: RequestId, server: ServerId, give_up_at: Micros) {
         let now = self.now;
         assert_eq!(self.states[&server], ServerState::Serving, "drain: sent to a server that is not serving");
-        let record = self.records.get_mut(&id).expect("sent an unknown request");
+        let record = self.requests.get_mut(&id).expect("sent an unknown request");
         assert!(!record.answered, "answers: attempt sent after the final answer");
         assert!(give_up_at <= record.deadline);
         assert_may_send(&self.settings, record, server, now);
@@ -134,7 +134,7 @@
     }
 
     fn record_answer(&mut self, id: RequestId) {
-        let record = self.records.get_mut(&id).expect("answered an unknown request");
+        let record = self.requests.get_mut(&id).expect("answered an unknown request");
         assert!(!record.answered, "answers: two final answers");
         assert!(self.now <= record.deadline, "answers: final answer after the deadline");
         record.answered = true;
@@ -143,12 +143,12 @@
 
     /// Processes all events scheduled up to `until`.
     fn run_until(&mut self, until: Micros) {
-        while let Some((&(at, next_sequence), _)) = self.queue.iter().next().filter(|(k, _)| k.0 <= until) {
+        while let Some((&(at, sequence), _)) = self.queue.iter().next().filter(|(k, _)| k.0 <= until) {
             self.now = at;
-            match self.queue.remove(&(at, next_sequence)).expect("peeked above") {
+            match self.queue.remove(&(at, sequence)).expect("peeked above") {
                 ScheduledEvent::Timer(token) => self.handle_event(Event::Timer(token)),
                 ScheduledEvent::AttemptEnded { id, attempt, outcome, sent_at } => {
-                    let record = self.records.get_mut(&id).expect("attempt ended for an unknown request");
+                    let record = self.requests.get_mut(&id).expect("attempt ended for an unknown request");
                     record.attempts[attempt as usize].outcome = Some(outcome);
                     if outcome == Outcome::Ok && !record.answered {
                         record.answered = true;
@@ -182,44 +182,44 @@
     }
 }
 
-fn run_random_world(seed: u64) -> World {
-    let mut world = World::new(seed);
+fn run_random_events(seed: u64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(seed);
     for id in 1..=1500 {
-        let until = world.now + world.random.below(20 * MS);
-        world.run_until(until);
-        if world.random.below(60) == 0 {
-            let server = world.random.below(6) as u32;
+        let until = fleet.now + fleet.random.below(20 * MS);
+        fleet.run_until(until);
+        if fleet.random.below(60) == 0 {
+            let server = fleet.random.below(6) as u32;
             let states = [ServerState::Serving, ServerState::Draining, ServerState::Gone];
-            let state = states[world.random.below(3) as usize];
-            world.states.insert(server, state);
-            world.handle_event(Event::EndpointUpdate(&[Endpoint { state, ..endpoint(server) }]));
+            let state = states[fleet.random.below(3) as usize];
+            fleet.states.insert(server, state);
+            fleet.handle_event(Event::EndpointUpdate(&[Endpoint { state, ..endpoint(server) }]));
         }
-        let class = world.random.below(4) as usize;
-        let deadline = world.now + world.random.below(1500 * MS);
-        let write = class > 0 && world.random.below(2) == 0;
-        world.records.insert(id, RequestRecord { class, deadline, answered: false, attempts: vec![] });
+        let class = fleet.random.below(4) as usize;
+        let deadline = fleet.now + fleet.random.below(1500 * MS);
+        let write = class > 0 && fleet.random.below(2) == 0;
+        fleet.requests.insert(id, RequestRecord { class, deadline, answered: false, attempts: vec![] });
         let request = Request {
             class: Some(class as u32),
             write,
             deadline,
-            key: (world.random.below(20) > 0).then(|| key_hash(&[world.random.below(40) as u8])),
-            ..read_request(id, 0, world.now)
+            key: (fleet.random.below(20) > 0).then(|| key_hash(&[fleet.random.below(40) as u8])),
+            ..read_request(id, 0, fleet.now)
         };
-        world.handle_event(Event::Arrived(request));
+        fleet.handle_event(Event::Arrived(request));
     }
-    let end = world.now + 3 * S;
-    world.run_until(end);
-    world
+    let end = fleet.now + 3 * S;
+    fleet.run_until(end);
+    fleet
 }
 
 #[test]
 fn random_events_never_violate_answer_retry_or_drain_rules() {
     let mut max_attempts_seen = 0;
     for seed in 0..40 {
-        let world = run_random_world(seed);
-        assert_eq!(world.answers, 1500, "answers: a request was not answered (seed {seed})");
+        let fleet = run_random_events(seed);
+        assert_eq!(fleet.answers, 1500, "answers: a request was not answered (seed {seed})");
         max_attempts_seen =
-            max_attempts_seen.max(world.records.values().map(|s| s.attempts.len()).max().unwrap_or(0));
+            max_attempts_seen.max(fleet.requests.values().map(|s| s.attempts.len()).max().unwrap_or(0));
     }
     assert_eq!(max_attempts_seen, 3, "no sequence used the maximum number of attempts");
 }
@@ -227,7 +227,7 @@
 #[test]
 fn same_seed_gives_the_same_actions() {
     let trace = |seed| -> Vec<(usize, bool)> {
-        run_random_world(seed).records.values().map(|s| (s.attempts.len(), s.answered)).collect()
+        run_random_events(seed).requests.values().map(|s| (s.attempts.len(), s.answered)).collect()
     };
     assert_eq!(trace(3), trace(3));
     assert_ne!(trace(3), trace(4));
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -8,10 +8,10 @@
 fn unreachable_cache_is_ejected_and_gets_one_trial_request() {
     let mut router = new_router(settings(), &endpoints(6));
     let mut now = START;
-    let home = send_targets(&arrive(&mut router, now, read_request(1, 5, now)))[0];
+    let cache = send_targets(&arrive(&mut router, now, read_request(1, 5, now)))[0];
     assert_ne!(
         send_targets(&end_attempt(&mut router, now, 1, 0, Outcome::ConnectFailed, 0))[0],
-        home,
+        cache,
         "retried at the next rank"
     );
     for id in 2..5 {
@@ -20,16 +20,16 @@
         end_attempt(&mut router, now, id, 0, Outcome::ConnectFailed, 0);
     }
     now += 10 * MS;
-    assert_ne!(send_targets(&arrive(&mut router, now, read_request(9, 5, now)))[0], home);
+    assert_ne!(send_targets(&arrive(&mut router, now, read_request(9, 5, now)))[0], cache);
     now += 2 * S;
     assert_eq!(
         send_targets(&arrive(&mut router, now, read_request(10, 5, now)))[0],
-        home,
+        cache,
         "one trial request after 2 s"
     );
     assert_ne!(
         send_targets(&arrive(&mut router, now, read_request(11, 5, now)))[0],
-        home,
+        cache,
         "only one trial request"
     );
 }
@@ -78,8 +78,8 @@
             send_targets(&arrive(&mut router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
         for n in 0..3 {
             // Only the origin answers.
-            let Some(to) = targets.pop() else { break };
-            let outcome = if to == ORIGIN { Outcome::Ok } else { Outcome::Error };
+            let Some(server) = targets.pop() else { break };
+            let outcome = if server == ORIGIN { Outcome::Ok } else { Outcome::Error };
             targets = send_targets(&end_attempt(&mut router, now, id, n, outcome, MS));
         }
     }
@@ -99,19 +99,19 @@
             end_attempt(&mut router, START + 30 * MS, id, 0, Outcome::Ok, 30 * MS);
         }
         let mut keys = keys_placed_on(2, 30).into_iter();
-        let mut send_read_at_home = |router: &mut Router, id: RequestId, now: Micros| {
+        let mut send_read_to_2 = |router: &mut Router, id: RequestId, now: Micros| {
             let key = keys.next().expect("keys_placed_on returned too few keys");
-            let to = send_targets(&arrive(router, now, read_request(id, key, now)));
-            assert!(!later_reads_answered || to == [2], "{id}: {to:?}");
+            let targets = send_targets(&arrive(router, now, read_request(id, key, now)));
+            assert!(!later_reads_answered || targets == [2], "{id}: {targets:?}");
         };
         for id in 1..15 {
-            send_read_at_home(&mut router, id, START + id * 50 * MS);
+            send_read_to_2(&mut router, id, START + id * 50 * MS);
             end_attempt(&mut router, START + id * 50 * MS + 30 * MS, id, 0, Outcome::Ok, 30 * MS);
         }
         let stalled_at = START + S;
         for id in 100..110 {
             let now = stalled_at + (id - 100) * 50 * MS;
-            send_read_at_home(&mut router, id, now);
+            send_read_to_2(&mut router, id, now);
             // The first read is never answered, and the slow-read timer fires while it is outstanding.
             if later_reads_answered && id > 100 {
                 end_attempt(&mut router, now + 30 * MS, id, 0, Outcome::Ok, 30 * MS);
--- a/tests/request_coalescing.rs
+++ b/tests/request_coalescing.rs
@@ -7,14 +7,14 @@
 #[test]
 fn misses_of_one_key_share_one_fetch_and_then_read_the_cache() {
     let mut router = new_router(settings(), &endpoints(6));
-    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
+    let cache = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
     arrive(&mut router, START, read_request(2, 5, START));
     assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 1, 0, Outcome::Miss, MS)), [ORIGIN]);
     assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 2, 0, Outcome::Miss, MS)), [] as [u32; 0]);
     assert_eq!(send_targets(&arrive(&mut router, START + MS, read_request(3, 5, START))), [] as [u32; 0]);
     let sent_after_fetch =
         send_targets(&end_attempt(&mut router, START + 50 * MS, 1, 1, Outcome::Ok, 49 * MS));
-    assert_eq!(sent_after_fetch, [home[0], home[0]]);
+    assert_eq!(sent_after_fetch, [cache[0], cache[0]]);
 }
 
 #[test]
@@ -57,7 +57,7 @@
 #[test]
 fn started_reply_frees_its_window_slot_and_resumes_waiters() {
     let mut router = new_router(settings(), &endpoints(6));
-    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
+    let cache = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
     arrive(&mut router, START, read_request(2, 5, START));
     for id in [1, 2] {
         end_attempt(&mut router, START + MS, id, 0, Outcome::Miss, MS);
@@ -65,7 +65,7 @@
     assert_eq!(router.snapshot().in_flight_attempts, 1, "one fetch for both");
     let now = START + 50 * MS;
     let started = handle(&mut router, now, Event::ReplyStarted { id: 1, attempt: 1, took: Some(49 * MS) });
-    assert_eq!(send_targets(&started), home, "the waiting read goes to the cache");
+    assert_eq!(send_targets(&started), cache, "the waiting read goes to the cache");
     let count_admitted_writes = |router: &mut Router, id: RequestId| {
         let admitted = (id..).take_while(|&id| {
             let request = at_most_once_write(id, now);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -36,16 +36,16 @@
     let mut router = new_router(settings(), &endpoints(6));
     let mut now = START;
     for id in 1..60 {
-        let home = send_targets(&arrive(&mut router, now, read_request(id, id, now)));
+        let cache = send_targets(&arrive(&mut router, now, read_request(id, id, now)));
         now += 20 * MS;
         assert_eq!(
             send_targets(&end_attempt(&mut router, now, id, 0, Outcome::MalformedReply, 20 * MS)),
-            home,
+            cache,
             "{id}"
         );
         now += 20 * MS;
         assert!(send_targets(&end_attempt(&mut router, now, id, 1, Outcome::Ok, 20 * MS)).is_empty());
-        assert_ne!(home, [ORIGIN]);
+        assert_ne!(cache, [ORIGIN]);
     }
 }
 
@@ -60,7 +60,7 @@
         let class = [0, 1, 3][id as usize % 3];
         let request = Request { write: class != 0, class: Some(class), ..read_request(id, id, now) };
         let mut targets = send_targets(&arrive(&mut router, now, request));
-        let home = targets[0];
+        let cache = targets[0];
         if class == 0 {
             targets = send_targets(&end_attempt(&mut router, now, id, 0, Outcome::Miss, MS));
         }
@@ -69,7 +69,7 @@
         let n = u32::from(class == 0);
         let actions = end_attempt(&mut router, now, id, n, Outcome::MalformedReply, 30 * MS);
         match class {
-            0 => assert_eq!(send_targets(&actions), [home], "the fetched value was stored in the cache"),
+            0 => assert_eq!(send_targets(&actions), [cache], "the fetched value was stored in the cache"),
             1 => assert_eq!(send_targets(&actions), [ORIGIN]),
             _ => assert_eq!(actions, [Action::Fail { id }]),
         }
@@ -84,8 +84,8 @@
 #[test]
 fn read_with_a_reset_connection_is_retried_at_the_same_cache_first() {
     let mut router = new_router(settings(), &endpoints(6));
-    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
-    assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 1, 0, Outcome::Reset, MS)), home);
+    let cache = send_targets(&arrive(&mut router, START, read_request(1, 5, START)));
+    assert_eq!(send_targets(&end_attempt(&mut router, START + MS, 1, 0, Outcome::Reset, MS)), cache);
     assert_eq!(send_targets(&end_attempt(&mut router, START + 2 * MS, 1, 1, Outcome::Reset, MS)), [ORIGIN]);
 }
 
--- a/tests/robustness.rs
+++ b/tests/robustness.rs
@@ -87,11 +87,11 @@
 #[test]
 fn late_outcomes_of_a_gone_server_do_not_affect_its_successor() {
     let mut router = new_router(settings(), &endpoints(6));
-    let home = send_targets(&arrive(&mut router, START, read_request(1, 5, START)))[0];
+    let cache = send_targets(&arrive(&mut router, START, read_request(1, 5, START)))[0];
     handle(
         &mut router,
         START,
-        Event::EndpointUpdate(&[Endpoint { state: ServerState::Gone, ..endpoint(home) }]),
+        Event::EndpointUpdate(&[Endpoint { state: ServerState::Gone, ..endpoint(cache) }]),
     );
     handle(&mut router, START, Event::EndpointUpdate(&[endpoint(500)]));
     for n in 0..40 {
@@ -126,8 +126,8 @@
     let mut router = new_router(settings(), &list);
     for id in 1..2_000u64 {
         let now = START + id * MS;
-        for to in send_targets(&arrive(&mut router, now, read_request(id, id % 7, now))) {
-            assert!(to <= ORIGIN);
+        for server in send_targets(&arrive(&mut router, now, read_request(id, id % 7, now))) {
+            assert!(server <= ORIGIN);
         }
         end_attempt(&mut router, now, id, 0, Outcome::Ok, MS);
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -49,9 +49,9 @@
             let now = from + step * 200 * MS;
             for router in routers.iter_mut() {
                 id += 1;
-                let to =
+                let targets =
                     send_targets(&arrive(router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
-                reads_at_0 += u32::from(to == [0]);
+                reads_at_0 += u32::from(targets == [0]);
                 end_attempt(router, now + MS, id, 0, Outcome::Ok, MS);
             }
         }
@@ -94,11 +94,11 @@
             let now = from + step * 200 * MS;
             for router in routers.iter_mut() {
                 id += 1;
-                let to =
+                let targets =
                     send_targets(&arrive(router, now, read_request(id, key_hash(&id.to_le_bytes()), now)));
-                to_cold += u32::from(to.first().is_some_and(|&s| s < 30));
+                to_cold += u32::from(targets.first().is_some_and(|&s| s < 30));
                 expected_reads += 30.0 * capacity_share / (20.0 + 30.0 * capacity_share);
-                if !to.is_empty() {
+                if !targets.is_empty() {
                     end_attempt(router, now + MS, id, 0, Outcome::Ok, MS);
                 }
             }
@@ -218,8 +218,8 @@
             for _ in 0..300 {
                 (now, id) = (now + S / 300, id + 1);
                 let key = key_hash(&(id % 300u64).to_le_bytes());
-                let to = send_targets(&arrive(router, now, read_request(id, key, now)));
-                if let Some(&server) = to.first() {
+                let targets = send_targets(&arrive(router, now, read_request(id, key, now)));
+                if let Some(&server) = targets.first() {
                     caches_by_key.entry(key).or_default().extend(Some(server).filter(|s| *s != ORIGIN));
                     let first = if server == ORIGIN || id % hits == 0 { Outcome::Ok } else { Outcome::Miss };
                     if !send_targets(&end_attempt(router, now, id, 0, first, 40 * MS)).is_empty() {
--- a/tests/tenant_quotas.rs
+++ b/tests/tenant_quotas.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns whether the read was sent; if so, it is answered after [`MS`].
-fn is_served(router: &mut Router, now: Micros, request: Request) -> bool {
+fn try_serve(router: &mut Router, now: Micros, request: Request) -> bool {
     let id = request.id;
     let sent_to_any = !send_targets(&arrive(router, now, request)).is_empty();
     if sent_to_any {
@@ -66,10 +66,10 @@
     for id in 1..=1000 {
         // One tenant sends 200 reads per second, the other 5, to caches with free capacity.
         let now = START + id * 5 * MS;
-        over_quota += u64::from(is_served(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)));
+        over_quota += u64::from(try_serve(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)));
         if id % 40 == 0 {
             within_quota += 1;
-            assert!(is_served(&mut router, now, tenant_read(Some(WITHIN_QUOTA), 10_000 + id, now)), "{id}");
+            assert!(try_serve(&mut router, now, tenant_read(Some(WITHIN_QUOTA), 10_000 + id, now)), "{id}");
             // Writes without a tenant are lost at the full origin window, which keeps up the contention.
             for n in 0..10 {
                 assert!(is_rejected(&arrive(
@@ -94,7 +94,7 @@
     // Three times the quota, for a minute.
     for id in 1..=1800 {
         let now = START + id * S / 30;
-        assert!(is_served(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)), "{id}");
+        assert!(try_serve(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)), "{id}");
     }
     let counts = router.snapshot();
     assert_eq!(counts.rejected_by_quota, 0);
@@ -210,7 +210,7 @@
             for tenant in 0..5 {
                 id += 1;
                 let now = START + second * S + n * S / 30;
-                assert!(is_served(&mut router, now, tenant_read(Some(tenant), id, now)));
+                assert!(try_serve(&mut router, now, tenant_read(Some(tenant), id, now)));
             }
         }
         router.snapshot().admitted_beyond_quota - before
@@ -246,7 +246,7 @@
     let mut free = new_router(settings_with_tenants(1, &quotas), &endpoints(6));
     for id in 1..=100 {
         let now = START + id * 100 * MS;
-        assert!(is_served(&mut free, now, tenant_read(Some(0), id, now)));
+        assert!(try_serve(&mut free, now, tenant_read(Some(0), id, now)));
     }
     assert_eq!((free.snapshot().admitted_within_quota, free.snapshot().admitted_beyond_quota), (0, 100));
     let mut full = contended_router(settings_with_tenants(1, &quotas));
@@ -265,7 +265,7 @@
         let mut router = contended_router(settings_with_tenants(1, &[1.0, 1.0]));
         for id in 1..=500 {
             let now = START + id * MS;
-            assert!(is_served(&mut router, now, tenant_read(tenant, id, now)), "{tenant:?} {id}");
+            assert!(try_serve(&mut router, now, tenant_read(tenant, id, now)), "{tenant:?} {id}");
         }
         assert_eq!(router.snapshot().rejected_by_quota, 0);
         assert_eq!(router.snapshot().admitted_within_quota, 0, "no request of a known tenant");
@@ -350,7 +350,7 @@
         let mut send_read = |router: &mut Router, tenant| {
             id += 1;
             let before = router.snapshot().admitted_within_quota;
-            let was_served = is_served(router, now, tenant_read(Some(tenant), id, now));
+            let was_served = try_serve(router, now, tenant_read(Some(tenant), id, now));
             (was_served, router.snapshot().admitted_within_quota - before)
         };
         for tenant in (0..999).filter(|tenant| u64::from(*tenant) % 2 == step % 2) {
@@ -376,11 +376,11 @@
     // Each served request within quota adds 0.005 to the admission probability.
     for id in 1..=200 {
         now += 10 * MS;
-        assert!(is_served(&mut router, now, tenant_read(Some(WITHIN_QUOTA), id, now)));
+        assert!(try_serve(&mut router, now, tenant_read(Some(WITHIN_QUOTA), id, now)));
     }
     for id in 1000..1500 {
         now += 10 * MS;
-        assert!(is_served(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)), "{id}");
+        assert!(try_serve(&mut router, now, tenant_read(Some(OVER_QUOTA), id, now)), "{id}");
     }
     assert!(router.snapshot().admitted_beyond_quota > 400);
 }
@@ -401,7 +401,7 @@
         }
         let now = START + 100 * MS;
         for id in 100..150 {
-            assert!(is_served(&mut router, now, tenant_read(Some(0), id, now)), "{id}");
+            assert!(try_serve(&mut router, now, tenant_read(Some(0), id, now)), "{id}");
         }
     }
 }
