--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A malformed reply says nothing about congestion, and must not repeat a write that must not run twice.
+/// A malformed reply is no sign of congestion, and a write that must not run twice is not repeated after one.
 #[test]
 fn malformed_origin_reply_keeps_the_window_and_retries_only_repeatable_requests() {
     let mut router = new_router(settings(), &endpoints(6));
--- a/tests/tenant_quotas.rs
+++ b/tests/tenant_quotas.rs
@@ -279,7 +279,7 @@
     let initial = router.in_flight();
     let now = START + S;
     assert_eq!(spend_burst(&mut router, OVER_QUOTA, 1, now), 8, "the burst is two seconds of quota");
-    let spent = router.in_flight();
+    let after_burst = router.in_flight();
     for (id, class) in (1000..).zip([0, 1, 2, 3]) {
         let request =
             Request { class: Some(class), write: class > 0, ..tenant_read(Some(OVER_QUOTA), id, now) };
@@ -288,8 +288,8 @@
         assert!((250 * MS..=S).contains(&advice), "{advice}");
         assert_eq!(actions.len(), 1, "expected neither timer nor attempt: {actions:?}");
     }
-    assert_eq!(router.in_flight(), spent);
-    assert!(spent.requests > initial.requests);
+    assert_eq!(router.in_flight(), after_burst);
+    assert!(after_burst.requests > initial.requests);
 }
 
 #[test]
