--- a/src/router.rs
+++ b/src/router.rs
@@ -1,25 +1,26 @@
-//! Routes requests: takes events, decides, and gives actions. The interface of both is in `interface.rs`.
+//! Routes requests to caches and to the origin: consumes events and returns actions, as defined in
+//! `interface.rs`.
 //!
-//! The ordinary path: a read goes to the cache that placement names for its key; a miss, and every write,
-//! goes to the origin if the congestion window has room, and is rejected at once if not. `docs/design.md`
-//! names the departures and when each acts. Each submodule has one concern and owns its state:
+//! A read goes to the cache that placement selects for its key. A miss or a write goes to the origin if the
+//! origin's congestion window has capacity, and is rejected otherwise. `docs/design.md` describes the
+//! exceptions. Each submodule owns the state of one concern:
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `dispatch` | sends attempts and gives final answers |
-//! | `attempt_results` | takes in how attempts go, and retries |
+//! | `dispatch` | sends attempts and final answers |
+//! | `attempt_results` | records the results of attempts, and retries |
 //! | `cache_selection` | chooses the cache for a read |
-//! | `admission` | what the origin's window has room for |
-//! | `tenant_quotas` | what of a tenant's requests is beyond its quota, and is rejected first |
-//! | `retries` | what a class allows after an attempt |
-//! | `congestion_window`, `normal_delay` | Equation 2 and its estimate of the normal delay |
-//! | `backends`, `placement` | records of the servers, their weights, and weighted rendezvous hashing |
-//! | `hot_keys` | over how many caches a hot key is spread |
-//! | `slow_start` | how many reads a warming cache may be sent |
+//! | `admission` | admits calls to the origin by its congestion window |
+//! | `tenant_quotas` | rejects requests beyond their tenant's quota under contention |
+//! | `retries` | which further attempts and answers a class allows |
+//! | `congestion_window`, `normal_delay` | adaptive window and its estimate of the uncongested delay |
+//! | `backends`, `placement` | server records, their weights, and weighted rendezvous hashing |
+//! | `hot_keys` | number of caches that serve a hot key |
+//! | `slow_start` | read budget of warming caches |
 //! | `outlier_detection` | ejects caches that fail or are slow |
-//! | `request_coalescing` | reads that share one fetch |
+//! | `request_coalescing` | shares one fetch among reads that miss the same key |
 //! | `discovery_schedule` | when to call discovery |
-//! | `in_flight`, `timer_token`, `random`, `snapshot` | records of requests, timers' tokens, random numbers, inspection |
+//! | `in_flight`, `timer_token`, `random`, `snapshot` | requests, timer tokens, random numbers, views |
 
 mod admission;
 mod attempt_results;
@@ -58,16 +59,16 @@
 use tenant_quotas::{QuotaDecision, TenantQuotas};
 use timer_token::RouterTimer;
 
-/// The decisions of one proxy.
+/// The routing state of one proxy. Performs no I/O and reads no clock.
 pub struct Router {
     settings: Settings,
     random: SplitMix64,
     backends: Backends,
     in_flight: BTreeMap<RequestId, InFlightRequest>,
     coalesced_fetches: CoalescedFetches,
-    /// The window on what is in flight at the origin.
+    /// Bounds the attempts in flight at the origin.
     origin_window: CongestionWindow,
-    /// The window on what is in flight at all caches together.
+    /// Bounds the attempts in flight at all caches together.
     all_caches_window: CongestionWindow,
     key_counts: KeyCounts,
     hit_rate: HitRate,
@@ -77,7 +78,7 @@
 }
 
 impl Router {
-    /// A router that holds no endpoint list yet.
+    /// Creates a router with an empty endpoint list. `seed` determines all random decisions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let origin_window = CongestionWindow::new(Target::Origin, &settings);
         Router {
@@ -96,46 +97,46 @@
         }
     }
 
-    /// The request that a timer's token speaks of. Once that request is over and nothing is outstanding for
-    /// it, the timer may be dropped: it would do nothing.
+    /// Returns the request that a timer token refers to. The host may drop the timer once that request is
+    /// done and has no outstanding attempts.
     pub fn timer_request(token: u64) -> Option<RequestId> {
         RouterTimer::request(token)
     }
 
-    /// Takes one event and appends what is to be done at once to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(endpoints) => self.list_arrived(now, endpoints, ListUpdate::Full, actions),
+            Event::EndpointList(endpoints) => self.apply_endpoints(now, endpoints, ListUpdate::Full, actions),
             Event::EndpointUpdate(endpoints) => {
-                self.list_arrived(now, endpoints, ListUpdate::Incremental, actions);
+                self.apply_endpoints(now, endpoints, ListUpdate::Incremental, actions);
             }
-            Event::DiscoveryError => self.discovery_failed(actions),
-            Event::Arrived(request) => self.request_arrived(now, request, actions),
+            Event::DiscoveryError => self.handle_discovery_error(actions),
+            Event::Arrived(request) => self.handle_arrival(now, request, actions),
             Event::ReplyStarted { id, attempt, took } => self.reply_started(now, id, attempt, took, actions),
-            Event::AttemptEnded { id, attempt, outcome, took, last } => {
-                let end = AttemptEnd { id, attempt: attempt as usize, outcome, took, last };
+            Event::AttemptEnded { id, attempt, outcome, took, request_done } => {
+                let end = AttemptEnd { id, attempt: attempt as usize, outcome, took, request_done };
                 self.attempt_ended(now, end, actions);
             }
             Event::ClientLeft(id) => {
                 self.close(id, actions);
                 self.release_if_done(id);
             }
-            Event::HedgeGranted(id) => self.read_is_slow(now, id, true, actions),
+            Event::HedgeGranted(id) => self.handle_slow_read(now, id, true, actions),
             Event::AnswerNow(id) => self.send_final_answer(now, id, actions),
-            Event::Timer(token) => self.timer_fired(now, token, actions),
+            Event::Timer(token) => self.handle_timer(now, token, actions),
         }
     }
 
-    fn timer_fired(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match RouterTimer::from_token(token) {
-            Some(RouterTimer::SlowRead(id)) => self.read_is_slow(now, id, false, actions),
+            Some(RouterTimer::SlowRead(id)) => self.handle_slow_read(now, id, false, actions),
             Some(RouterTimer::Deadline(id)) => self.give_final_answer(now, id, actions),
             Some(RouterTimer::Discovery) => actions.push(Action::Watch),
             None => {}
         }
     }
 
-    fn list_arrived(
+    fn apply_endpoints(
         &mut self,
         now: Micros,
         endpoints: &[Endpoint],
@@ -146,28 +147,28 @@
         if self.discovery.record_update() {
             actions.push(Action::Watch);
         }
-        self.weigh_backends(now);
+        self.update_weights(now);
     }
 
-    fn discovery_failed(&mut self, actions: &mut Vec<Action>) {
+    fn handle_discovery_error(&mut self, actions: &mut Vec<Action>) {
         if let Some(after) = self.discovery.record_failure(&mut self.random) {
             actions.push(Action::Timer { after, token: RouterTimer::Discovery.token() });
         }
     }
 
-    fn weigh_backends(&mut self, now: Micros) {
-        self.backends.weigh(now, &self.settings);
+    fn update_weights(&mut self, now: Micros) {
+        self.backends.update_weights(now, &self.settings);
         self.outliers.evaluate(now, &mut self.backends);
     }
 
-    fn request_arrived(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        self.key_counts.advance(now, self.backends.len());
+    fn handle_arrival(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        self.key_counts.start_epoch_if_due(now, self.backends.len());
         self.hit_rate.update(now);
         if let Some(key) = request.key.filter(|_| !request.write) {
             self.key_counts.record_read(key);
         }
         if self.backends.weights_are_stale(now) {
-            self.weigh_backends(now);
+            self.update_weights(now);
         }
         let Request { id, tenant, deadline, write, .. } = request;
         let standing = match self.quotas.decide(now, tenant, &mut self.random) {
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -1,221 +1,222 @@
-//! Chooses the cache for a read: the best-ranked one that may take it, or for a hot key the least busy of a
-//! few.
+//! Chooses the cache for a read: the best-ranked cache that may take it, or the least loaded replica of a hot
+//! key.
 
 use super::backends::BackendIndex;
-use super::hot_keys::EPOCH;
+use super::hot_keys::EPOCH_LENGTH;
 use super::in_flight::InFlightRequest;
 use super::random::mix64;
 use super::slow_start::WarmingCache;
 use super::Router;
 use crate::interface::{Key, Micros, RequestId};
 
-/// The least total weight that a share is taken of: keeps it finite.
+/// Lower bound on the total weight, to avoid division by zero.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// Where a read may go.
+/// The result of selecting a cache for a read.
 pub(super) enum Selection {
-    /// To this cache.
+    /// Send the read to this cache.
     Cache(BackendIndex),
-    /// Nowhere now: the caches that may hold the key have all that they can take.
+    /// Reject the read: the caches that may have the key are at capacity.
     Overloaded,
-    /// To the origin, if that has capacity: there is no cache to ask.
+    /// Send the read to the origin if it has capacity: no cache can take it.
     NoCache,
 }
 
-/// The caches that a read has been to.
-struct History {
+/// The caches that a read has already been sent to.
+struct ReadHistory {
     tried: Vec<BackendIndex>,
     rejected_by: Vec<BackendIndex>,
     missed_at: Option<BackendIndex>,
 }
 
-impl History {
+impl ReadHistory {
     fn of(request: &InFlightRequest) -> Self {
         let attempts = request.attempts.iter();
         let tried = attempts.clone().filter(|a| !a.is_origin_call() && !a.retry_same_server);
-        History {
+        ReadHistory {
             tried: tried.map(|attempt| attempt.backend).collect(),
             rejected_by: attempts.filter(|a| a.rejected).map(|attempt| attempt.backend).collect(),
             missed_at: request.missed_at,
         }
     }
 
-    /// Whether it need not be asked again. The cache that missed the key may have it by now.
+    /// Returns whether the cache need not be tried again. A cache that missed may have the key by now.
     fn excludes(&self, cache: BackendIndex) -> bool {
         self.tried.contains(&cache) && self.missed_at != Some(cache)
     }
 }
 
-/// A candidate and how busy it is for its weight.
-struct LeastBusy {
+/// A candidate cache and its load relative to its weight.
+struct CacheLoad {
     load: f64,
     cache: BackendIndex,
 }
 
-/// The state of one search through the ranking of a key.
+/// The state of one search through a key's ranking.
 struct Search {
-    history: History,
+    history: ReadHistory,
     /// The best-ranked cache.
     first: BackendIndex,
-    /// Caches that may hold the key.
-    replicas: usize,
-    trials_allowed: bool,
-    /// Whether this proxy reads from one cache so seldom that its delays tell little.
+    /// The number of caches that may have the key.
+    replica_count: usize,
+    allow_trial: bool,
+    /// Whether this proxy reads from each cache too rarely for delays of a single cache to be useful.
     sparse: bool,
-    /// Whether the origin could take some of the load.
+    /// Whether at least half of the origin's window is free.
     origin_half_free: bool,
-    /// Caches considered that could hold the key.
-    considered: usize,
-    /// Whether one of those had all that it can take.
+    /// The number of evaluated caches that may have the key.
+    evaluated: usize,
+    /// Whether one of them was at capacity.
     overloaded: bool,
-    /// Warming caches whose budget was spent.
-    denied: usize,
-    best: Option<LeastBusy>,
+    /// The number of warming caches whose slow-start budget denied the read.
+    slow_start_denials: usize,
+    best: Option<CacheLoad>,
 }
 
 impl Search {
-    /// Whether enough caches were considered. A key that only an overloaded cache holds moves to the next
-    /// rank while the origin's window is at most half used, and is rejected otherwise: it must not take the
-    /// origin along.
-    fn is_over(&self) -> bool {
-        self.considered > self.replicas
-            || self.considered == self.replicas && (self.best.is_some() || !self.origin_half_free)
+    /// Returns whether enough caches were evaluated. If all replicas are at capacity, one further rank is
+    /// tried only while at least half of the origin's window is free; otherwise its misses would overload the
+    /// origin.
+    fn is_complete(&self) -> bool {
+        self.evaluated > self.replica_count
+            || self.evaluated == self.replica_count && (self.best.is_some() || !self.origin_half_free)
     }
 
-    /// The same after a cache that has rejected the read: it is as overloaded as one without a slot.
-    fn is_over_after_rejection(&self) -> bool {
-        self.considered > self.replicas || self.considered == self.replicas && !self.origin_half_free
+    /// Like [`Search::is_complete`], for a cache that rejected the read before and so counts as at capacity.
+    fn is_complete_after_rejection(&self) -> bool {
+        self.evaluated > self.replica_count || self.evaluated == self.replica_count && !self.origin_half_free
     }
 }
 
-/// How a search goes on after one cache.
+/// How a search continues after one cache.
 enum Step {
     Next,
     Stop,
-    /// The read is a trial request to this cache.
+    /// Select this cache, as a trial request.
     Trial,
 }
 
 impl Router {
-    /// Chooses the cache for a read. `trials_allowed` says whether it may be a trial request to an ejected
-    /// one.
-    pub(super) fn select_cache(&mut self, now: Micros, id: RequestId, trials_allowed: bool) -> Selection {
+    /// Chooses the cache for a read. `allow_trial` permits a trial request to an ejected cache.
+    pub(super) fn select_cache(&mut self, now: Micros, id: RequestId, allow_trial: bool) -> Selection {
         let request = &self.in_flight[&id];
         let key = request.request.key.unwrap_or_else(|| mix64(id));
-        let history = History::of(request);
+        let history = ReadHistory::of(request);
         let ranking = self.backends.rank(key);
         let Some(&first) = ranking.first() else { return Selection::NoCache };
         self.all_caches_window.record_demand(now);
         let mut search = Search {
             history,
             first,
-            replicas: self.replicas(key, first),
-            trials_allowed,
+            replica_count: self.replica_count(key, first),
+            allow_trial,
             sparse: self.reads_are_sparse(),
             origin_half_free: self.origin_window.is_half_free(),
-            considered: 0,
+            evaluated: 0,
             overloaded: false,
-            denied: 0,
+            slow_start_denials: 0,
             best: None,
         };
         for &cache in &ranking {
-            match self.consider(now, cache, &mut search) {
+            match self.evaluate_cache(now, cache, &mut search) {
                 Step::Next => {}
                 Step::Stop => break,
                 Step::Trial => return Selection::Cache(cache),
             }
         }
-        self.conclude(now, &ranking, &search)
+        self.finish_selection(now, &ranking, &search)
     }
 
-    /// Whether this proxy reads from one cache so seldom that delays of it never come together while they are
-    /// news.
+    /// Returns whether this proxy reads from each cache too rarely to get
+    /// [`super::congestion_window::MIN_SAMPLES`] delays of one within an epoch.
     pub(super) fn reads_are_sparse(&self) -> bool {
-        self.all_caches_window.demand_is_sparse(self.backends.cache_count(), EPOCH)
+        self.all_caches_window.demand_is_sparse(self.backends.cache_count(), EPOCH_LENGTH)
     }
 
-    fn replicas(&self, key: Key, first: BackendIndex) -> usize {
+    fn replica_count(&self, key: Key, first: BackendIndex) -> usize {
         let fair_share = self.backends.fair_share(first);
-        self.key_counts.replicas(key, fair_share, self.reads_are_sparse(), self.backends.cache_count())
+        self.key_counts.replica_count(key, fair_share, self.reads_are_sparse(), self.backends.cache_count())
     }
 
-    /// Looks at one cache of the ranking.
-    fn consider(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
+    /// Evaluates one cache of the ranking.
+    fn evaluate_cache(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) -> Step {
         if search.history.excludes(cache) {
             if search.history.rejected_by.contains(&cache) {
-                search.considered += 1;
+                search.evaluated += 1;
                 search.overloaded = true;
-                if search.is_over_after_rejection() {
+                if search.is_complete_after_rejection() {
                     return Step::Stop;
                 }
             }
             return Step::Next;
         }
         if self.backends[cache].health.is_ejected() {
-            return self.consider_trial(now, cache, search);
+            return self.evaluate_trial(now, cache, search);
         }
-        // Only its first warming caches are asked for a key: from budgets that all keys draw on, every cache
-        // would have a little of all keys, and keep none of them long.
-        if self.is_warming_up(cache, now) && (search.denied >= search.replicas || !self.admit(now, cache)) {
-            search.denied += 1;
+        // Limit a key to its first warming caches. Otherwise every warming cache would get a few reads of
+        // every key and keep none of them cached.
+        if self.is_warming_up(cache, now)
+            && (search.slow_start_denials >= search.replica_count || !self.slow_start_admits(now, cache))
+        {
+            search.slow_start_denials += 1;
             return Step::Next;
         }
-        search.considered += 1;
-        self.consider_load(now, cache, search);
-        if search.is_over() {
+        search.evaluated += 1;
+        self.evaluate_load(now, cache, search);
+        if search.is_complete() {
             Step::Stop
         } else {
             Step::Next
         }
     }
 
-    /// Whether a read is a trial request to an ejected cache; that must have been its first choice.
-    fn consider_trial(&mut self, now: Micros, cache: BackendIndex, search: &Search) -> Step {
+    /// Selects an ejected cache for a trial request if it is the best-ranked cache and a trial is due.
+    fn evaluate_trial(&mut self, now: Micros, cache: BackendIndex, search: &Search) -> Step {
         let due = self.backends[cache].health.is_trial_due(now);
-        if !search.trials_allowed || cache != search.first || !due {
+        if !search.allow_trial || cache != search.first || !due {
             return Step::Next;
         }
-        // A trial is no exception to what a warming cache can bear.
-        if self.is_warming_up(cache, now) && !self.admit(now, cache) {
+        // Trial requests to a warming cache count against its slow-start budget.
+        if self.is_warming_up(cache, now) && !self.slow_start_admits(now, cache) {
             return Step::Next;
         }
         self.backends[cache].health.record_trial_sent(now);
         Step::Trial
     }
 
-    /// Keeps a cache as the choice if it has a slot and is the least busy so far.
-    fn consider_load(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) {
+    /// Makes a cache the current choice if it has capacity and the lowest load so far.
+    fn evaluate_load(&mut self, now: Micros, cache: BackendIndex, search: &mut Search) {
         self.backends[cache].window.record_demand(now);
         let backend = &self.backends[cache];
-        // Where no proxy asks one cache twice in seconds, only the window over all caches can tell that they
-        // are congested.
-        let trusted = !search.sparse
-            || backend.window.has_recent_evidence(now)
+        // With sparse reads, a cache without recent delays is used only while the window over all caches has
+        // capacity.
+        let usable = !search.sparse
+            || backend.window.has_recent_samples(now)
             || self.all_caches_window.has_capacity(now, 1.0);
-        if !trusted || !backend.window.has_capacity(now, 1.0) {
+        if !usable || !backend.window.has_capacity(now, 1.0) {
             search.overloaded = true;
             return;
         }
         let load = (f64::from(backend.outstanding) + self.random.next_unit()) / backend.weight;
         if search.best.as_ref().is_none_or(|best| load < best.load) {
-            search.best = Some(LeastBusy { load, cache });
+            search.best = Some(CacheLoad { load, cache });
         }
     }
 
-    fn conclude(&self, now: Micros, ranking: &[BackendIndex], search: &Search) -> Selection {
+    fn finish_selection(&self, now: Micros, ranking: &[BackendIndex], search: &Search) -> Selection {
         if let Some(best) = &search.best {
             return Selection::Cache(best.cache);
         }
-        // The origin's window tells what it has room for. A fleet that rejected what the origin could serve
-        // would be held in that state by the rejected requests that come again.
+        // Leave the decision to the origin's window: rejecting reads that the origin could serve would keep
+        // the caches cold, since rejected reads are retried.
         let never_rejected = search.history.rejected_by.is_empty();
-        if search.denied > 0 || search.overloaded && never_rejected && search.origin_half_free {
+        if search.slow_start_denials > 0 || search.overloaded && never_rejected && search.origin_half_free {
             return Selection::NoCache;
         }
         if search.overloaded {
             return Selection::Overloaded;
         }
-        // With every cache ejected or tried, a wrong judgement must not leave none to ask.
+        // If every cache is ejected or was tried, fall back to the best-ranked warm cache that was not tried.
         let untried = |cache: &BackendIndex| !search.history.tried.contains(cache);
         let warm = |cache: &BackendIndex| !self.is_warming_up(*cache, now);
         let fallback = ranking.iter().copied().find(|cache| untried(cache) && warm(cache));
@@ -226,8 +227,8 @@
         self.backends[cache].is_warming_up(&self.settings, now)
     }
 
-    /// Whether the slow-start budget of a warming cache admits one more read.
-    fn admit(&mut self, now: Micros, cache: BackendIndex) -> bool {
+    /// Returns whether the slow-start budget of a warming cache admits one more read.
+    fn slow_start_admits(&mut self, now: Micros, cache: BackendIndex) -> bool {
         let total_weight = self.backends.total_weight().max(MIN_TOTAL_WEIGHT);
         let read_rate = self.all_caches_window.demand_rate();
         let backend = &mut self.backends[cache];
@@ -235,7 +236,7 @@
             weight_share: backend.weight / total_weight,
             hit_rate: self.hit_rate.per_second(),
             answer_time: backend.health.latency(),
-            slowed_down_at: backend.window.last_cut_at(),
+            window_cut_at: backend.window.last_cut_at(),
             read_rate,
         };
         backend.slow_start.admit(now, &warming, &self.settings, self.random.next_unit())
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -1,10 +1,10 @@
-//! The rules on repeating a request: what its class allows once an attempt of it may have run.
+//! The rules for repeating a request: what its class allows once an attempt may have run.
 
 use super::backends::Backends;
 use super::in_flight::{AttemptState, InFlightRequest};
 use crate::interface::{Effect, Endpoint, Micros, Scope, Settings};
 
-/// The servers among which repeats of a deduplicated request are dropped.
+/// The servers that share deduplication state with the first attempt that may have run.
 #[derive(Clone, Copy)]
 enum DedupGroup {
     All,
@@ -30,47 +30,51 @@
     }
 }
 
-/// What the rules leave open for a request.
-pub(super) struct Permission {
-    /// Whether a further attempt may be sent, to a server of the group.
+/// What a request may do next.
+pub(super) struct AttemptPermission {
+    /// Whether a further attempt may be sent to a server of `dedup_group`.
     may_send: bool,
-    group: DedupGroup,
-    /// Whether "rejected, a retry is harmless" would be a true final answer.
+    dedup_group: DedupGroup,
+    /// Whether the final answer may be a rejection, which tells the client that a retry is safe.
     pub(super) may_reject: bool,
-    /// Until when a further attempt may begin.
+    /// The latest time at which a further attempt may start.
     pub(super) begin_by: Micros,
 }
 
-impl Permission {
-    /// What may be sent or answered next: the one place of these rules.
+impl AttemptPermission {
+    /// Returns what a request may do next. All retry rules are applied here.
     pub(super) fn of(
         request: &InFlightRequest,
         settings: &Settings,
         backends: &Backends,
         now: Micros,
     ) -> Self {
-        let mut permission = Permission {
+        let mut permission = AttemptPermission {
             may_send: true,
-            group: DedupGroup::All,
+            dedup_group: DedupGroup::All,
             may_reject: true,
             begin_by: request.request.deadline,
         };
         permission.restrict_by_effect(request, settings, backends);
-        let spent = request.attempts_left(settings.max_attempts) == 0;
-        let hedges = request.has_outstanding() && !settings.hedging;
-        permission.may_send &= !(spent || hedges || !request.awaits_answer() || now >= permission.begin_by);
+        let attempts_exhausted = request.attempts_left(settings.max_attempts) == 0;
+        let hedge_forbidden = request.has_outstanding() && !settings.hedging;
+        permission.may_send &= !(attempts_exhausted
+            || hedge_forbidden
+            || !request.awaits_answer()
+            || now >= permission.begin_by);
         permission
     }
 
-    /// Whether a further attempt may be sent to this server.
+    /// Returns whether a further attempt may be sent to this server.
     pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
-        self.may_send && self.group.contains(endpoint)
+        self.may_send && self.dedup_group.contains(endpoint)
     }
 
-    /// The first attempt that may have run decides. A class that the settings do not know is never repeated.
+    /// Applies the effect of the class, based on the first attempt that may have run. A request of unknown
+    /// class is never repeated.
     fn restrict_by_effect(&mut self, request: &InFlightRequest, settings: &Settings, backends: &Backends) {
         let may_have_run = |state| state != AttemptState::NeverRan;
-        let Some(first) = request.attempts.iter().find(|attempt| may_have_run(attempt.state)) else { return };
+        let Some(risky) = request.attempts.iter().find(|attempt| may_have_run(attempt.state)) else { return };
         match settings.class_of(&request.request).map_or(Effect::AtMostOnce, |class| class.effect) {
             Effect::Idempotent => {}
             Effect::AtMostOnce => {
@@ -78,8 +82,8 @@
                 self.may_reject = false;
             }
             Effect::Deduplicated { scope, window } => {
-                self.group = DedupGroup::of(scope, &backends[first.backend].endpoint);
-                self.begin_by = self.begin_by.min(first.sent_at + window);
+                self.dedup_group = DedupGroup::of(scope, &backends[risky.backend].endpoint);
+                self.begin_by = self.begin_by.min(risky.sent_at + window);
                 self.may_reject = scope == Scope::All;
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, an endpoint list, and short ways to drive a router.
+//! Shared by the tests: settings, endpoint lists, and helpers that drive a router.
 #![allow(dead_code)]
 
 use notchdoor::*;
@@ -28,7 +28,7 @@
         over_quota_weight: 0.1,
         origin_kind: Some(1),
         discovery: Discovery::Pushed,
-        sizes_are_live: false,
+        sizes_vary_with_load: false,
         max_attempts: 3,
         hedging: true,
         may_cancel: true,
@@ -52,8 +52,8 @@
     (0..n).chain([ORIGIN]).map(endpoint).collect()
 }
 
-/// As many proxies as `count`, each with its own seed, with the same endpoint list at the start.
-pub fn fleet(count: u32, endpoints: &[Endpoint]) -> Vec<Router> {
+/// Creates `count` routers, each with its own seed, that start with the same endpoint list.
+pub fn proxy_fleet(count: u32, endpoints: &[Endpoint]) -> Vec<Router> {
     let settings = Settings { proxies: count, ..settings() };
     (0..count)
         .map(|seed| {
@@ -64,13 +64,13 @@
         .collect()
 }
 
-pub fn router(settings: Settings, endpoints: &[Endpoint]) -> Router {
+pub fn new_router(settings: Settings, endpoints: &[Endpoint]) -> Router {
     let mut router = Router::new(settings, 7, START);
     router.handle(START, Event::EndpointList(endpoints), &mut Vec::new());
     router
 }
 
-pub fn read(id: RequestId, key: Key, now: Micros) -> Request {
+pub fn read_request(id: RequestId, key: Key, now: Micros) -> Request {
     Request {
         id,
         class: Some(0),
@@ -92,7 +92,7 @@
     handle(router, now, Event::Arrived(request))
 }
 
-pub fn end(
+pub fn end_attempt(
     router: &mut Router,
     now: Micros,
     id: RequestId,
@@ -100,12 +100,12 @@
     outcome: Outcome,
     took: Micros,
 ) -> Vec<Action> {
-    let last = outcome == Outcome::Ok;
-    handle(router, now, Event::AttemptEnded { id, attempt, outcome, took: Some(took), last })
+    let request_done = outcome == Outcome::Ok;
+    handle(router, now, Event::AttemptEnded { id, attempt, outcome, took: Some(took), request_done })
 }
 
-/// The servers that the actions send to.
-pub fn sent(actions: &[Action]) -> Vec<ServerId> {
+/// Returns the servers that the actions send to.
+pub fn send_targets(actions: &[Action]) -> Vec<ServerId> {
     let server = |a: &Action| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -113,38 +113,39 @@
     actions.iter().filter_map(server).collect()
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 /// A write of the class that must never run twice.
 pub fn at_most_once_write(id: RequestId, now: Micros) -> Request {
-    Request { write: true, class: Some(3), ..read(id, id, now) }
+    Request { write: true, class: Some(3), ..read_request(id, id, now) }
 }
 
-/// Sends a write at `now` and ends it `took` later; says where it went, if anywhere.
-pub fn write(router: &mut Router, id: RequestId, now: Micros, took: Micros, outcome: Outcome) -> bool {
+/// Sends a write at `now` and, if it was sent, ends it `took` later. Returns whether it was sent.
+pub fn run_write(router: &mut Router, id: RequestId, now: Micros, took: Micros, outcome: Outcome) -> bool {
     let request = at_most_once_write(id, now);
-    let there = !sent(&arrive(router, now, request)).is_empty();
-    if there {
-        end(router, now + took, id, 0, outcome, took);
+    let was_sent = !send_targets(&arrive(router, now, request)).is_empty();
+    if was_sent {
+        end_attempt(router, now + took, id, 0, outcome, took);
     }
-    there
+    was_sent
 }
 
-/// Keys whose home is the cache `home` of six.
-pub fn keys_at(home: ServerId, count: usize) -> Vec<Key> {
-    let mut probe = router(settings(), &endpoints(6));
-    let mut at_home = |n: &u64| {
-        let asked = sent(&arrive(&mut probe, START, read(*n, key_hash(&n.to_le_bytes()), START)));
-        end(&mut probe, START, *n, 0, Outcome::Ok, 0);
-        asked == [home]
+/// Returns keys whose best-ranked cache of six is `cache`.
+pub fn keys_placed_on(cache: ServerId, count: usize) -> Vec<Key> {
+    let mut probe = new_router(settings(), &endpoints(6));
+    let mut placed_on_cache = |n: &u64| {
+        let targets =
+            send_targets(&arrive(&mut probe, START, read_request(*n, key_hash(&n.to_le_bytes()), START)));
+        end_attempt(&mut probe, START, *n, 0, Outcome::Ok, 0);
+        targets == [cache]
     };
-    (1..1000u64).filter(|n| at_home(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
+    (1..1000u64).filter(|n| placed_on_cache(n)).take(count).map(|n| key_hash(&n.to_le_bytes())).collect()
 }
 
-/// A fleet so large that this proxy asks one cache twice only in many seconds.
+/// Creates a router with `n` caches; with many of them, it reads from each cache only once in many seconds.
 pub fn large_fleet(n: u32) -> (Router, Vec<Endpoint>) {
     let list: Vec<Endpoint> = (1000..1000 + n).chain([ORIGIN]).map(endpoint).collect();
-    (router(settings(), &list), list)
+    (new_router(settings(), &list), list)
 }
