--- a/cli/src/check/explained_request.rs
+++ b/cli/src/check/explained_request.rs
@@ -46,13 +46,13 @@
     pub fn print(&self, policy: &Policy, context: &PolicyContext) {
         let deadline = context.deadlines[self.class as usize];
         let patience = self.patience.unwrap_or(deadline).min(deadline);
-        let chosen = explain::chosen_route(policy, &self.request(policy, context));
+        let chosen = explain::select_route(policy, &self.request(policy, context));
         println!("route '{}' takes it", chosen.route.name);
         for skipped in &chosen.skipped {
             println!("  passed over {skipped}");
         }
         println!("worst case, for a client that waits {}:", format_duration(patience));
-        for step in explain::timetable(chosen.route, context, self.class, patience) {
+        for step in explain::worst_case_timeline(chosen.route, context, self.class, patience) {
             println!("  {:>8}  {}", format_duration(step.at), step.event);
         }
         for line in explain::describe_limits(chosen.route, policy) {
--- a/lab/src/baselines.rs
+++ b/lab/src/baselines.rs
@@ -341,6 +341,6 @@
     }
 
     fn left_over(&self) -> Option<String> {
-        LimitsLayer::left_over(self)
+        LimitsLayer::leaked_state(self)
     }
 }
--- a/lab/src/interface.rs
+++ b/lab/src/interface.rs
@@ -99,6 +99,6 @@
     }
 
     fn left_over(&self) -> Option<String> {
-        Stack::left_over(self)
+        Stack::leaked_state(self)
     }
 }
--- a/limits/src/circuit_breaker.rs
+++ b/limits/src/circuit_breaker.rs
@@ -17,7 +17,7 @@
     /// Attempts within the window before a share is believed.
     pub min_attempts: u32,
     /// How long it stays open, at the least.
-    pub open_for: Micros,
+    pub open_duration: Micros,
     /// Good probes in a row that close it.
     pub probes_to_close: u32,
 }
@@ -41,14 +41,14 @@
     /// Whether it failed.
     pub failed: bool,
     /// How long it took.
-    pub took: Micros,
+    pub duration: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Closed,
     Open { until: Micros },
-    HalfOpen { probe_in_flight: bool, good_probes: u32 },
+    HalfOpen { probe_in_flight: bool, successful_probes: u32 },
 }
 
 /// A circuit breaker.
@@ -87,7 +87,7 @@
             if now < until {
                 return Admission::Rejected;
             }
-            self.state = State::HalfOpen { probe_in_flight: false, good_probes: 0 };
+            self.state = State::HalfOpen { probe_in_flight: false, successful_probes: 0 };
         }
         match &mut self.state {
             State::Closed => Admission::Allowed,
@@ -102,28 +102,28 @@
     /// An attempt has ended. `spread` is how much longer than its settings say the breaker stays open if this opens
     /// it: hundreds of proxies whose breakers opened together must not probe a server that has just come back at one
     /// moment. `None` if it must not open now.
-    pub fn record(&mut self, now: Micros, result: AttemptResult, spread: Option<Micros>) {
-        let slow = result.took > self.config.slow_after;
+    pub fn record(&mut self, now: Micros, result: AttemptResult, open_jitter: Option<Micros>) {
+        let slow = result.duration > self.config.slow_after;
         if result.probe {
-            self.record_probe(now, result.failed || slow, spread);
+            self.record_probe(now, result.failed || slow, open_jitter);
         } else if self.is_closed() {
             // What was sent before it opened says nothing that is not known.
             self.counts.add(now, self.config.window, result.failed, slow);
-            if let Some(spread) = spread.filter(|_| self.too_many_bad()) {
-                self.open(now, spread);
+            if let Some(open_jitter) = open_jitter.filter(|_| self.threshold_exceeded()) {
+                self.open(now, open_jitter);
             }
         }
     }
 
-    fn record_probe(&mut self, now: Micros, bad: bool, spread: Option<Micros>) {
-        let State::HalfOpen { good_probes, .. } = self.state else { return };
-        if bad {
+    fn record_probe(&mut self, now: Micros, failed_or_slow: bool, open_jitter: Option<Micros>) {
+        let State::HalfOpen { successful_probes, .. } = self.state else { return };
+        if failed_or_slow {
             // It was open before: no further server is left alone by that.
-            return self.open(now, spread.unwrap_or(0));
+            return self.open(now, open_jitter.unwrap_or(0));
         }
-        let good_probes = good_probes + 1;
-        if good_probes < self.config.probes_to_close {
-            self.state = State::HalfOpen { probe_in_flight: false, good_probes };
+        let successful_probes = successful_probes + 1;
+        if successful_probes < self.config.probes_to_close {
+            self.state = State::HalfOpen { probe_in_flight: false, successful_probes };
         } else {
             self.state = State::Closed;
             self.counts.clear();
@@ -142,16 +142,16 @@
         *self = CircuitBreaker { times_opened: self.times_opened, ..CircuitBreaker::new(self.config) };
     }
 
-    fn too_many_bad(&self) -> bool {
+    fn threshold_exceeded(&self) -> bool {
         let counts = self.counts.sum();
         let ratio = |part: u32| f64::from(part) / f64::from(counts.attempts.max(1));
-        let bad =
+        let exceeded =
             ratio(counts.failed) >= self.config.failure_ratio || ratio(counts.slow) >= self.config.slow_ratio;
-        bad && counts.attempts >= self.config.min_attempts.max(1)
+        exceeded && counts.attempts >= self.config.min_attempts.max(1)
     }
 
-    fn open(&mut self, now: Micros, spread: Micros) {
-        let until = now.saturating_add(self.config.open_for).saturating_add(spread);
+    fn open(&mut self, now: Micros, open_jitter: Micros) {
+        let until = now.saturating_add(self.config.open_duration).saturating_add(open_jitter);
         self.state = State::Open { until };
         self.times_opened += 1;
         self.counts.clear();
@@ -159,7 +159,7 @@
 }
 
 /// A window is counted in so many steps, of which the oldest is forgotten at a time.
-const STEPS: u64 = 10;
+const WINDOW_BUCKETS: u64 = 10;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptCounts {
@@ -171,42 +171,43 @@
 /// Counts of the attempts of the latest window.
 #[derive(Clone, Debug, Default)]
 struct SlidingWindow {
-    steps: [AttemptCounts; STEPS as usize],
+    buckets: [AttemptCounts; WINDOW_BUCKETS as usize],
     /// The latest step, counted from time zero.
-    latest: u64,
+    latest_bucket: u64,
 }
 
 impl SlidingWindow {
     fn add(&mut self, now: Micros, window: Micros, failed: bool, slow: bool) {
-        self.advance(now / (window / STEPS).max(1));
-        let step = &mut self.steps[(self.latest % STEPS) as usize];
-        step.attempts += 1;
-        step.failed += u32::from(failed);
-        step.slow += u32::from(slow);
+        self.advance(now / (window / WINDOW_BUCKETS).max(1));
+        let bucket = &mut self.buckets[(self.latest_bucket % WINDOW_BUCKETS) as usize];
+        bucket.attempts += 1;
+        bucket.failed += u32::from(failed);
+        bucket.slow += u32::from(slow);
     }
 
     /// Forgets the steps that have left the window. A time before the latest one counts as that.
-    fn advance(&mut self, step: u64) {
-        let passed = step.saturating_sub(self.latest);
-        if passed >= STEPS {
+    fn advance(&mut self, bucket: u64) {
+        let elapsed = bucket.saturating_sub(self.latest_bucket);
+        if elapsed >= WINDOW_BUCKETS {
             self.clear();
         } else {
-            for ahead in 1..=passed {
-                self.steps[((self.latest + ahead) % STEPS) as usize] = AttemptCounts::default();
+            for offset in 1..=elapsed {
+                self.buckets[((self.latest_bucket + offset) % WINDOW_BUCKETS) as usize] =
+                    AttemptCounts::default();
             }
         }
-        self.latest = self.latest.max(step);
+        self.latest_bucket = self.latest_bucket.max(bucket);
     }
 
     fn clear(&mut self) {
-        self.steps = [AttemptCounts::default(); STEPS as usize];
+        self.buckets = [AttemptCounts::default(); WINDOW_BUCKETS as usize];
     }
 
     fn sum(&self) -> AttemptCounts {
-        self.steps.iter().fold(AttemptCounts::default(), |sum, step| AttemptCounts {
-            attempts: sum.attempts + step.attempts,
-            failed: sum.failed + step.failed,
-            slow: sum.slow + step.slow,
+        self.buckets.iter().fold(AttemptCounts::default(), |sum, bucket| AttemptCounts {
+            attempts: sum.attempts + bucket.attempts,
+            failed: sum.failed + bucket.failed,
+            slow: sum.slow + bucket.slow,
         })
     }
 }
--- a/limits/src/concurrency_limiter.rs
+++ b/limits/src/concurrency_limiter.rs
@@ -13,33 +13,33 @@
 }
 
 /// Latencies that make one sample.
-const SAMPLE_SIZE: u32 = 32;
+const LATENCIES_PER_SAMPLE: u32 = 32;
 /// Latency may rise by this factor over the usual before the limit falls.
-const TOLERANCE: f64 = 1.5;
+const LATENCY_TOLERANCE: f64 = 1.5;
 /// The limit falls to no less than this share of itself by one sample.
 const MIN_GRADIENT: f64 = 0.5;
 /// Weight of a new limit beside the old one.
-const SMOOTHING: f64 = 0.2;
+const LIMIT_SMOOTHING: f64 = 0.2;
 /// Weight of a faster sample in the usual latency.
-const FASTER_WEIGHT: f64 = 0.5;
+const BASELINE_FALL_WEIGHT: f64 = 0.5;
 /// Weight of a slower one: small, or a lasting jam would become the usual.
-const SLOWER_WEIGHT: f64 = 1.0 / 64.0;
+const BASELINE_RISE_WEIGHT: f64 = 1.0 / 64.0;
 /// A limit of which less than this share is in use does not rise.
-const MIN_SHARE_IN_USE: f64 = 0.5;
+const MIN_UTILIZATION: f64 = 0.5;
 
 /// An adaptive limit.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     bounds: ConcurrencyBounds,
     limit: f64,
-    usual_latency: Option<f64>,
+    baseline_latency: Option<f64>,
     sample: Sample,
 }
 
 /// The latencies of the sample that is being taken.
 #[derive(Clone, Debug, Default)]
 struct Sample {
-    latency_sum: f64,
+    latency_sum_us: f64,
     count: u32,
     peak_in_flight: u32,
 }
@@ -47,8 +47,8 @@
 impl ConcurrencyLimiter {
     /// A limit that starts at the geometric mean of its bounds.
     pub fn new(bounds: ConcurrencyBounds) -> Self {
-        let middle = (f64::from(bounds.min.max(1)) * f64::from(bounds.max)).sqrt();
-        ConcurrencyLimiter { bounds, limit: middle, usual_latency: None, sample: Sample::default() }
+        let initial_limit = (f64::from(bounds.min.max(1)) * f64::from(bounds.max)).sqrt();
+        ConcurrencyLimiter { bounds, limit: initial_limit, baseline_latency: None, sample: Sample::default() }
     }
 
     /// Keeps to other bounds from now on.
@@ -63,29 +63,29 @@
     }
 
     /// A request was served after so many microseconds, while so many were in flight.
-    pub fn record_success(&mut self, latency: f64, in_flight: u32) {
-        self.sample.latency_sum += latency;
+    pub fn record_success(&mut self, latency_us: f64, in_flight: u32) {
+        self.sample.latency_sum_us += latency_us;
         self.sample.count += 1;
         self.sample.peak_in_flight = self.sample.peak_in_flight.max(in_flight);
-        if self.sample.count >= SAMPLE_SIZE {
+        if self.sample.count >= LATENCIES_PER_SAMPLE {
             let sample = std::mem::take(&mut self.sample);
             self.adapt(&sample);
         }
     }
 
     fn adapt(&mut self, sample: &Sample) {
-        let latency = (sample.latency_sum / f64::from(sample.count)).max(1.0);
-        let usual = self.usual_latency.unwrap_or(latency);
-        let weight = if latency < usual { FASTER_WEIGHT } else { SLOWER_WEIGHT };
-        let usual = usual + weight * (latency - usual);
-        self.usual_latency = Some(usual);
-        let gradient = (TOLERANCE * usual / latency).clamp(MIN_GRADIENT, 1.0);
-        let mut wanted = self.limit * gradient + self.limit.sqrt();
+        let latency = (sample.latency_sum_us / f64::from(sample.count)).max(1.0);
+        let baseline = self.baseline_latency.unwrap_or(latency);
+        let weight = if latency < baseline { BASELINE_FALL_WEIGHT } else { BASELINE_RISE_WEIGHT };
+        let baseline = baseline + weight * (latency - baseline);
+        self.baseline_latency = Some(baseline);
+        let gradient = (LATENCY_TOLERANCE * baseline / latency).clamp(MIN_GRADIENT, 1.0);
+        let mut target = self.limit * gradient + self.limit.sqrt();
         // Quiet times say nothing of what a higher limit would do.
-        if f64::from(sample.peak_in_flight) < self.limit * MIN_SHARE_IN_USE {
-            wanted = wanted.min(self.limit);
+        if f64::from(sample.peak_in_flight) < self.limit * MIN_UTILIZATION {
+            target = target.min(self.limit);
         }
-        self.limit = self.clamped(self.limit + SMOOTHING * (wanted - self.limit));
+        self.limit = self.clamped(self.limit + LIMIT_SMOOTHING * (target - self.limit));
     }
 
     fn clamped(&self, limit: f64) -> f64 {
--- a/limits/src/explain.rs
+++ b/limits/src/explain.rs
@@ -7,7 +7,7 @@
 
 /// The route that takes a request, and those that were passed over.
 #[derive(Clone, Debug)]
-pub struct ChosenRoute<'p> {
+pub struct SelectedRoute<'p> {
     /// The route.
     pub route: &'p Route,
     /// The more specific ones that do not take it.
@@ -49,7 +49,7 @@
 }
 
 impl SkipReason {
-    fn of(matcher: &RouteMatch, request: &Request) -> Self {
+    fn for_request(matcher: &RouteMatch, request: &Request) -> Self {
         if matcher.class.is_some() && matcher.class != request.class {
             SkipReason::Class
         } else if matcher.tenant.is_some() && matcher.tenant != request.tenant {
@@ -63,33 +63,36 @@
 }
 
 /// Which route takes a request of this class, tenant and key, and why not those before it.
-pub fn chosen_route<'p>(policy: &'p Policy, request: &Request) -> ChosenRoute<'p> {
+pub fn select_route<'p>(policy: &'p Policy, request: &Request) -> SelectedRoute<'p> {
     let index = policy.route_index(request);
     let skipped = policy.routes[..index]
         .iter()
-        .map(|route| SkippedRoute { name: &route.name, reason: SkipReason::of(&route.matcher, request) })
+        .map(|route| SkippedRoute {
+            name: &route.name,
+            reason: SkipReason::for_request(&route.matcher, request),
+        })
         .collect();
-    ChosenRoute { route: &policy.routes[index], skipped }
+    SelectedRoute { route: &policy.routes[index], skipped }
 }
 
 /// One step of a worst case.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TimetableStep {
+pub struct TimelineStep {
     /// When, from the request's arrival.
     pub at: Micros,
     /// What happens.
-    pub event: TimetableEvent,
+    pub event: TimelineEvent,
 }
 
 /// What happens in a worst case.
 #[derive(Clone, Debug, PartialEq)]
-pub enum TimetableEvent {
+pub enum TimelineEvent {
     /// An attempt begins.
     Attempt {
         /// Its number, from 1.
         number: u32,
         /// When it is given up.
-        given_up_at: Micros,
+        timeout_at: Micros,
     },
     /// A hedged request may be sent.
     Hedge {
@@ -104,33 +107,38 @@
     FinalAnswer,
 }
 
-impl fmt::Display for TimetableEvent {
+impl fmt::Display for TimelineEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            TimetableEvent::Attempt { number, given_up_at } => {
+            TimelineEvent::Attempt { number, timeout_at } => {
                 let condition = if *number == 1 { "" } else { ", if the budget allows it" };
-                format!("attempt {number}, given up at {}{condition}", format_duration(*given_up_at))
+                format!("attempt {number}, given up at {}{condition}", format_duration(*timeout_at))
             }
-            TimetableEvent::Hedge { quantile, ratio } => format!(
+            TimelineEvent::Hedge { quantile, ratio } => format!(
                 "a second copy once it takes longer than {:.1}% of this route's requests, for {:.0}% at most",
                 quantile * 100.0,
                 ratio * 100.0
             ),
-            TimetableEvent::NoRetry => "no repeat: the attempt before may have run".to_owned(),
-            TimetableEvent::FinalAnswer => "final answer at the latest".to_owned(),
+            TimelineEvent::NoRetry => "no repeat: the attempt before may have run".to_owned(),
+            TimelineEvent::FinalAnswer => "final answer at the latest".to_owned(),
         };
         f.write_str(&text)
     }
 }
 
 /// The timetable of a request's worst case: every attempt times out, every wait is the longest.
-pub fn timetable(route: &Route, context: &PolicyContext, class: u32, patience: Micros) -> Vec<TimetableStep> {
+pub fn worst_case_timeline(
+    route: &Route,
+    context: &PolicyContext,
+    class: u32,
+    client_timeout: Micros,
+) -> Vec<TimelineStep> {
     let limits = &route.limits;
-    let route_total = limits.total_timeout.unwrap_or(patience);
-    let total = route_total.min(patience);
+    let route_total = limits.total_timeout.unwrap_or(client_timeout);
+    let total = route_total.min(client_timeout);
     // A client that waits less than the route's time has its attempts and waits shortened in proportion.
-    let time_scale = (patience as f64 / route_total.max(1) as f64).min(1.0);
-    let scaled = |t: Micros| (t as f64 * time_scale) as Micros;
+    let time_scale = (client_timeout as f64 / route_total.max(1) as f64).min(1.0);
+    let scale = |t: Micros| (t as f64 * time_scale) as Micros;
     let classes = &context.settings.classes;
     let effect = classes.get(class as usize).map_or(Effect::AtMostOnce, |class| class.effect);
     let may_retry = effect != Effect::AtMostOnce && limits.retry == RetryRule::ByClass;
@@ -139,25 +147,25 @@
     let mut at = 0;
     for number in 1..=attempts {
         if number > 1 {
-            at += limits.backoff.map_or(0, |backoff| scaled(backoff.longest(number - 1)));
+            at += limits.backoff.map_or(0, |backoff| scale(backoff.max_delay(number - 1)));
         }
         if number > 1 && at >= total {
             break;
         }
         if number > 1 && !may_retry {
-            steps.push(TimetableStep { at, event: TimetableEvent::NoRetry });
+            steps.push(TimelineStep { at, event: TimelineEvent::NoRetry });
             break;
         }
-        let given_up_at = limits.attempt_timeout.map_or(total, |timeout| (at + scaled(timeout)).min(total));
-        steps.push(TimetableStep { at, event: TimetableEvent::Attempt { number, given_up_at } });
+        let timeout_at = limits.attempt_timeout.map_or(total, |timeout| (at + scale(timeout)).min(total));
+        steps.push(TimelineStep { at, event: TimelineEvent::Attempt { number, timeout_at } });
         if let (1, Hedging::AfterQuantile { quantile, ratio }, Effect::Idempotent) =
             (number, limits.hedging, effect)
         {
-            steps.push(TimetableStep { at, event: TimetableEvent::Hedge { quantile, ratio } });
+            steps.push(TimelineStep { at, event: TimelineEvent::Hedge { quantile, ratio } });
         }
-        at = given_up_at;
+        at = timeout_at;
     }
-    steps.push(TimetableStep { at: total, event: TimetableEvent::FinalAnswer });
+    steps.push(TimelineStep { at: total, event: TimelineEvent::FinalAnswer });
     steps
 }
 
@@ -185,7 +193,7 @@
         lines.push(format!(
             "a server is left alone for {} once {:.0}% of {} or more attempts within {} fail, and comes back after {} \
              good trials",
-            format_duration(breaker.open_for),
+            format_duration(breaker.open_duration),
             breaker.failure_ratio * 100.0,
             breaker.min_attempts,
             format_duration(breaker.window),
--- a/limits/src/layer/admission.rs
+++ b/limits/src/layer/admission.rs
@@ -14,22 +14,22 @@
 impl<D: Decide> LimitsLayer<D> {
     pub(super) fn on_arrival(&mut self, now: Micros, mut request: Request, actions: &mut Vec<Action>) {
         let Some(route) = self.routes.get(self.policy.route_index(&request)).map(Rc::clone) else {
-            return self.handle_within(now, Event::Arrived(request), actions);
+            return self.forward_to_router(now, Event::Arrived(request), actions);
         };
         self.deposit_tokens(now, &route);
-        if self.is_full(&route) {
+        if self.at_capacity(&route) {
             self.metrics.requests_shed += 1;
             return actions.push(self.rejection(request.id, &route));
         }
-        let held = self.hold(now, &mut request, route);
-        if let Some(after) = hedge_delay(now, &held) {
+        let tracked = self.track(now, &mut request, route);
+        if let Some(after) = hedge_delay(now, &tracked) {
             let token = TimerToken::Hedge(request.id).encode();
             actions.push(Action::Timer { after, token });
         }
-        held.route.state.borrow_mut().in_flight += 1;
+        tracked.route.state.borrow_mut().in_flight += 1;
         self.in_flight += 1;
-        self.requests.insert(request.id, held);
-        self.handle_within(now, Event::Arrived(request), actions);
+        self.requests.insert(request.id, tracked);
+        self.forward_to_router(now, Event::Arrived(request), actions);
     }
 
     /// A request brings tokens to its route's budgets, also one that is rejected.
@@ -41,7 +41,7 @@
     }
 
     /// Whether one more request would go over the limit of its route, or of the proxy as far as the route may use it.
-    fn is_full(&self, route: &ActiveRoute) -> bool {
+    fn at_capacity(&self, route: &ActiveRoute) -> bool {
         let state = route.state.borrow();
         let capacity = self.policy.max_in_flight.map_or(f64::INFINITY, f64::from);
         let usable = capacity * (1.0 - route.limits.reserved_capacity);
@@ -51,13 +51,13 @@
     /// Nothing was sent, so a rejection is true whatever the class. Room comes back as soon as one of the requests in
     /// flight is done.
     fn rejection(&self, id: RequestId, route: &ActiveRoute) -> Action {
-        let usual = route.state.borrow().latency.estimate();
-        let retry_after = route.limits.retry_after.or(usual).unwrap_or(DEFAULT_RETRY_AFTER);
+        let typical_latency = route.state.borrow().latency.estimate();
+        let retry_after = route.limits.retry_after.or(typical_latency).unwrap_or(DEFAULT_RETRY_AFTER);
         Action::Reject { id, retry_after: retry_after.min(self.settings.max_retry_after) }
     }
 
     /// The record of a request that is let in, whose deadline is cut to its route's.
-    fn hold(&self, now: Micros, request: &mut Request, route: Rc<ActiveRoute>) -> InFlightRequest {
+    fn track(&self, now: Micros, request: &mut Request, route: Rc<ActiveRoute>) -> InFlightRequest {
         let class = request.class.and_then(|class| self.settings.classes.get(class as usize));
         let time_left = request.deadline.saturating_sub(now);
         let mut time_scale = 1.0;
@@ -71,14 +71,14 @@
             route,
             effect: class.map_or(Effect::AtMostOnce, |class| class.effect),
             write: request.write,
-            arrived: now,
+            arrived_at: now,
             deadline: request.deadline,
             time_scale,
             attempts: Vec::new(),
-            sent: 0,
-            in_flight: 0,
+            attempts_sent: 0,
+            attempts_in_flight: 0,
             finished: false,
-            last_failed: false,
+            last_attempt_failed: false,
             may_have_run_since: None,
             hedge_granted: false,
         }
--- a/limits/src/layer/attempts.rs
+++ b/limits/src/layer/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: withheld, delayed or sent, and what their ends say of servers and budgets.
 
-use super::metrics::Withheld;
+use super::metrics::WithholdReason;
 use super::request::{Attempt, AttemptState, InFlightRequest};
 use super::timer_token::TimerToken;
 use super::{LimitsLayer, UnsentAttempt};
@@ -10,14 +10,14 @@
 
 /// At most this share of the servers has an open breaker at a route. A file that would leave alone all warm servers
 /// would push the load of all onto a cold one, or the origin (rule 4).
-const MAX_OPEN_BREAKERS: f64 = 0.4;
+const MAX_OPEN_BREAKER_SHARE: f64 = 0.4;
 /// Breakers that opened together send their probes one proxy after another, so far apart.
 const PROBE_SPACING: Micros = 40_000;
 /// A time-out says nothing of a server that had less than this share of the route's own.
-const MIN_SHARE_WAITED: f64 = 0.5;
+const MIN_ELAPSED_TIMEOUT_SHARE: f64 = 0.5;
 
 /// An attempt as the router asks for it.
-pub(super) struct WantedAttempt {
+pub(super) struct RequestedAttempt {
     pub(super) id: RequestId,
     pub(super) server: ServerId,
     pub(super) give_up_at: Micros,
@@ -48,8 +48,13 @@
 
 impl<D: Decide> LimitsLayer<D> {
     /// Sends an attempt that the router wants, delays it, or withholds it.
-    pub(super) fn send(&mut self, now: Micros, wanted: WantedAttempt, actions: &mut Vec<Action>) {
-        let WantedAttempt { id, server, give_up_at, begin_by } = wanted;
+    pub(super) fn handle_send(
+        &mut self,
+        now: Micros,
+        requested: RequestedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let RequestedAttempt { id, server, give_up_at, begin_by } = requested;
         if !self.requests.contains_key(&id) {
             // Nothing that this layer knows of: it has no say in it.
             return actions.push(Action::Send { id, server, give_up_at, begin_by });
@@ -69,8 +74,8 @@
         });
         let too_late = delay > 0 && now.saturating_add(delay) >= request.deadline.min(begin_by);
         match admitted {
-            Err(withheld) => self.withhold(id, index, withheld),
-            Ok(_) if too_late => self.withhold(id, index, Withheld::FutileRetry),
+            Err(reason) => self.withhold(id, index, reason),
+            Ok(_) if too_late => self.withhold(id, index, WithholdReason::FutileRetry),
             Ok(_) if delay > 0 => {
                 self.metrics.delayed_retries += 1;
                 actions.push(Action::Timer { after: delay, token: TimerToken::Retry(id).encode() });
@@ -80,9 +85,14 @@
     }
 
     /// Whether an attempt that the router wants may be sent, and whether it is a breaker's probe.
-    fn admit_attempt(&mut self, now: Micros, id: RequestId, server: ServerId) -> Result<Admission, Withheld> {
+    fn admit_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        server: ServerId,
+    ) -> Result<Admission, WithholdReason> {
         let request = &self.requests[&id];
-        request.may_attempt(now)?;
+        request.check_attempt(now)?;
         let limits = &request.route.limits;
         let mut admission = Admission::Allowed;
         if let Some(config) = limits.circuit_breaker {
@@ -91,17 +101,18 @@
             admission = breaker.try_acquire(now);
         }
         if admission == Admission::Rejected {
-            return Err(Withheld::CircuitOpen);
+            return Err(WithholdReason::CircuitOpen);
         }
         // A hedged request has been paid for out of its own budget.
-        if request.last_failed && !request.is_hedge() {
+        if request.last_attempt_failed && !request.is_hedge() {
             let budget = limits.retry_budget.and_then(|index| self.retry_budgets.get(index));
-            let paid = budget.is_none_or(|b| b.bucket.borrow_mut().try_acquire(now, limits.budget_reserve));
-            if !paid {
+            let granted =
+                budget.is_none_or(|b| b.bucket.borrow_mut().try_acquire(now, limits.budget_reserve));
+            if !granted {
                 if admission == Admission::Probe {
                     request.route.release_probe(server);
                 }
-                return Err(Withheld::BudgetExhausted);
+                return Err(WithholdReason::BudgetExhausted);
             }
         }
         Ok(admission)
@@ -111,14 +122,16 @@
     fn backoff_delay(&mut self, id: RequestId) -> Micros {
         let request = &self.requests[&id];
         let backoff = request.route.limits.backoff;
-        let Some(backoff) = backoff.filter(|_| request.last_failed && !request.is_hedge()) else { return 0 };
-        let longest = backoff.longest(request.sent.max(1)) as f64 * request.time_scale;
-        (longest * (1.0 - backoff.jitter * self.rng.random::<f64>())) as Micros
+        let Some(backoff) = backoff.filter(|_| request.last_attempt_failed && !request.is_hedge()) else {
+            return 0;
+        };
+        let max_delay = backoff.max_delay(request.attempts_sent.max(1)) as f64 * request.time_scale;
+        (max_delay * (1.0 - backoff.jitter * self.rng.random::<f64>())) as Micros
     }
 
     /// The router will be told that this attempt was never sent.
-    fn withhold(&mut self, id: RequestId, index: usize, withheld: Withheld) {
-        self.metrics.count(withheld);
+    fn withhold(&mut self, id: RequestId, index: usize, reason: WithholdReason) {
+        self.metrics.count(reason);
         if let Some(request) = self.requests.get_mut(&id) {
             request.abandon_attempt(index);
         }
@@ -134,7 +147,7 @@
     }
 
     /// The router cancels an attempt.
-    pub(super) fn cancel(&mut self, id: RequestId, index: u32, actions: &mut Vec<Action>) {
+    pub(super) fn handle_cancel(&mut self, id: RequestId, index: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(index as usize) else { return };
         match (attempt.state, attempt.number) {
@@ -149,9 +162,9 @@
 
     /// An attempt that was sent has ended.
     pub(super) fn on_attempt_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let spread = self.probe_spread();
+        let open_jitter = self.open_jitter();
         let Some(request) = self.requests.get_mut(&end.id) else {
-            return self.handle_within(now, end.event(end.number), actions);
+            return self.forward_to_router(now, end.event(end.number), actions);
         };
         let Some(index) = request.index_of(end.number) else { return };
         let attempt = &mut request.attempts[index];
@@ -159,28 +172,28 @@
             return;
         }
         attempt.state = AttemptState::Finished;
-        request.in_flight -= 1;
+        request.attempts_in_flight -= 1;
         self.attempts_in_flight -= 1;
-        let good = [Outcome::Ok, Outcome::Miss, Outcome::Cancelled, Outcome::NotSent];
-        request.last_failed = !good.contains(&end.outcome);
+        let non_failures = [Outcome::Ok, Outcome::Miss, Outcome::Cancelled, Outcome::NotSent];
+        request.last_attempt_failed = !non_failures.contains(&end.outcome);
         if !end.outcome.never_ran() {
             request.may_have_run_since.get_or_insert(request.attempts[index].sent_at);
         }
-        record_at_breaker(request, index, now, &end, self.endpoints.serving(), spread);
+        record_in_breaker(request, index, now, &end, self.endpoints.serving(), open_jitter);
         if end.outcome == Outcome::Ok && !request.finished {
-            let latency = now.saturating_sub(request.arrived);
+            let latency = now.saturating_sub(request.arrived_at);
             request.route.state.borrow_mut().record_success(latency);
         }
         if end.last {
             self.finish(end.id);
         }
-        self.handle_within(now, end.event(index as u32), actions);
+        self.forward_to_router(now, end.event(index as u32), actions);
     }
 
     /// By how much longer this proxy's breakers stay open than the next one's.
-    fn probe_spread(&mut self) -> Micros {
-        let whole_fleet = u64::from(self.settings.proxies) * PROBE_SPACING;
-        (self.rng.random::<f64>() * whole_fleet as f64) as Micros
+    fn open_jitter(&mut self) -> Micros {
+        let max_jitter = u64::from(self.settings.proxies) * PROBE_SPACING;
+        (self.rng.random::<f64>() * max_jitter as f64) as Micros
     }
 
     pub(super) fn on_timer(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
@@ -189,18 +202,18 @@
             return;
         }
         match token {
-            TimerToken::Hedge(id) => self.hedge(now, id, actions),
+            TimerToken::Hedge(id) => self.grant_hedge(now, id, actions),
             TimerToken::Retry(id) => self.end_backoff(now, id, actions),
         }
     }
 
     /// A request is still open after its route's quantile: the router may send a hedged request if it is paid for.
-    fn hedge(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    fn grant_hedge(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.may_hedge()) else { return };
         request.hedge_granted = request.route.state.borrow_mut().hedge_budget.try_acquire(now, 0.0);
         if request.hedge_granted {
             self.metrics.hedges += 1;
-            self.handle_within(now, Event::HedgeGranted(id), actions);
+            self.forward_to_router(now, Event::HedgeGranted(id), actions);
         }
     }
 
@@ -213,26 +226,26 @@
         if serving && request.within_dedup_window(now) && now < request.deadline {
             self.dispatch(now, id, index, actions);
         } else {
-            self.withhold(id, index, Withheld::FutileRetry);
+            self.withhold(id, index, WithholdReason::FutileRetry);
         }
     }
 }
 
 /// What an attempt's end says of its server.
-fn record_at_breaker(
+fn record_in_breaker(
     request: &InFlightRequest,
     index: usize,
     now: Micros,
     end: &AttemptEnd,
     serving: usize,
-    spread: Micros,
+    open_jitter: Micros,
 ) {
     let attempt = &request.attempts[index];
     let mut state = request.route.state.borrow_mut();
-    let may_open = state.open_breakers() as f64 + 1.0 <= (MAX_OPEN_BREAKERS * serving as f64).max(1.0);
+    let may_open = state.open_breakers() as f64 + 1.0 <= (MAX_OPEN_BREAKER_SHARE * serving as f64).max(1.0);
     let Some(breaker) = state.breakers.get_mut(&attempt.server) else { return };
-    let waited = now.saturating_sub(attempt.sent_at);
-    if says_nothing(request, end.outcome, waited) {
+    let elapsed = now.saturating_sub(attempt.sent_at);
+    if is_inconclusive(request, end.outcome, elapsed) {
         if attempt.probe {
             breaker.release_probe();
         }
@@ -240,16 +253,16 @@
     }
     let failures = [Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset];
     let failed = failures.contains(&end.outcome);
-    let took = end.took.unwrap_or(if failed { waited } else { 0 });
-    let result = AttemptResult { probe: attempt.probe, failed, took };
-    breaker.record(now, result, may_open.then_some(spread));
+    let duration = end.took.unwrap_or(if failed { elapsed } else { 0 });
+    let result = AttemptResult { probe: attempt.probe, failed, duration };
+    breaker.record(now, result, may_open.then_some(open_jitter));
 }
 
 /// Whether an outcome is no sign of how a server does. A client that left next to no time is one such case: what was
 /// not waited for did not fail.
-fn says_nothing(request: &InFlightRequest, outcome: Outcome, waited: Micros) -> bool {
+fn is_inconclusive(request: &InFlightRequest, outcome: Outcome, elapsed: Micros) -> bool {
     let timeout = request.route.limits.attempt_timeout;
     let cut_short = outcome == Outcome::Timeout
-        && timeout.is_some_and(|timeout| (waited as f64) < timeout as f64 * MIN_SHARE_WAITED);
+        && timeout.is_some_and(|timeout| (elapsed as f64) < timeout as f64 * MIN_ELAPSED_TIMEOUT_SHARE);
     cut_short || matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected)
 }
--- a/limits/src/layer/endpoints.rs
+++ b/limits/src/layer/endpoints.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 /// Servers that are gone are forgotten once they are half of all and so many more.
-const MAX_GONE_BEYOND_HALF: usize = 64;
+const GONE_ENDPOINT_MARGIN: usize = 64;
 
 struct KnownEndpoint {
     serving: bool,
@@ -21,11 +21,11 @@
 
 /// What a list says that circuit breakers have to know.
 #[derive(Default)]
-pub(super) struct ListUpdate {
+pub(super) struct EndpointChanges {
     /// Servers that have started anew.
     pub(super) restarted: Vec<ServerId>,
     /// Servers that are forgotten.
-    pub(super) forgotten: Vec<ServerId>,
+    pub(super) removed: Vec<ServerId>,
 }
 
 impl Endpoints {
@@ -40,26 +40,26 @@
     }
 
     /// A whole list or a change of it.
-    pub(super) fn update(&mut self, members: &[Endpoint], whole: bool) -> ListUpdate {
-        if whole {
+    pub(super) fn update(&mut self, endpoints: &[Endpoint], is_full_list: bool) -> EndpointChanges {
+        if is_full_list {
             self.known.values_mut().for_each(|endpoint| endpoint.serving = false);
         }
-        let mut update = ListUpdate::default();
-        for member in members {
-            let serving = member.state == ServerState::Serving;
-            let endpoint = KnownEndpoint { serving, started_at: member.started_at };
-            let known = self.known.insert(member.server, endpoint);
-            if known.is_some_and(|known| known.started_at != member.started_at) {
-                update.restarted.push(member.server);
+        let mut update = EndpointChanges::default();
+        for endpoint in endpoints {
+            let serving = endpoint.state == ServerState::Serving;
+            let entry = KnownEndpoint { serving, started_at: endpoint.started_at };
+            let previous = self.known.insert(endpoint.server, entry);
+            if previous.is_some_and(|previous| previous.started_at != endpoint.started_at) {
+                update.restarted.push(endpoint.server);
             }
         }
         self.serving = self.known.values().filter(|endpoint| endpoint.serving).count();
         // Without this the map would keep every server that there ever was.
-        let gone: Vec<ServerId> =
+        let not_serving: Vec<ServerId> =
             self.known.iter().filter(|(_, endpoint)| !endpoint.serving).map(|(server, _)| *server).collect();
-        if gone.len() > self.known.len() / 2 + MAX_GONE_BEYOND_HALF {
+        if not_serving.len() > self.known.len() / 2 + GONE_ENDPOINT_MARGIN {
             self.known.retain(|_, endpoint| endpoint.serving);
-            update.forgotten = gone;
+            update.removed = not_serving;
         }
         update
     }
--- a/limits/src/layer/metrics.rs
+++ b/limits/src/layer/metrics.rs
@@ -21,7 +21,7 @@
 
 /// Why an attempt that the router wants is never sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Withheld {
+pub(super) enum WithholdReason {
     AttemptsExhausted,
     BudgetExhausted,
     CircuitOpen,
@@ -29,12 +29,12 @@
 }
 
 impl LimitsMetrics {
-    pub(super) fn count(&mut self, withheld: Withheld) {
-        let counter = match withheld {
-            Withheld::AttemptsExhausted => &mut self.attempts_exhausted,
-            Withheld::BudgetExhausted => &mut self.budget_exhausted,
-            Withheld::CircuitOpen => &mut self.circuit_open,
-            Withheld::FutileRetry => &mut self.futile_retries,
+    pub(super) fn count(&mut self, reason: WithholdReason) {
+        let counter = match reason {
+            WithholdReason::AttemptsExhausted => &mut self.attempts_exhausted,
+            WithholdReason::BudgetExhausted => &mut self.budget_exhausted,
+            WithholdReason::CircuitOpen => &mut self.circuit_open,
+            WithholdReason::FutileRetry => &mut self.futile_retries,
         };
         *counter += 1;
     }
--- a/limits/src/layer/mod.rs
+++ b/limits/src/layer/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::policy::Policy;
 use crate::token_bucket::TokenBucket;
-use attempts::{AttemptEnd, WantedAttempt};
+use attempts::{AttemptEnd, RequestedAttempt};
 use endpoints::Endpoints;
 use notchdoor::{Action, Decide, Endpoint, Event, Micros, Outcome, RequestId, Settings};
 use rand::SeedableRng;
@@ -29,7 +29,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
-use timer_token::{TimerToken, OWN_BIT};
+use timer_token::{TimerToken, LAYER_BIT};
 
 /// A retry budget in force, shared by routes.
 struct SharedBudget {
@@ -63,7 +63,7 @@
 }
 
 impl<D: Decide> LimitsLayer<D> {
-    /// A layer round `inner`, which was given the settings that [`crate::stack::settings_with`] makes.
+    /// A layer round `inner`, which was given the settings that [`crate::stack::router_settings`] makes.
     pub fn new(inner: D, settings: Settings, policy: Arc<Policy>, seed: u64, now: Micros) -> Self {
         let mut layer = LimitsLayer {
             inner,
@@ -72,7 +72,7 @@
             routes: Vec::new(),
             retry_budgets: Vec::new(),
             // Apart from the router's own random numbers, which come from the same seed.
-            rng: ChaCha8Rng::seed_from_u64(seed ^ OWN_BIT),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ LAYER_BIT),
             requests: FxHashMap::default(),
             in_flight: 0,
             attempts_in_flight: 0,
@@ -90,8 +90,8 @@
     pub fn reload(&mut self, policy: Arc<Policy>, now: Micros) {
         let old_budgets = std::mem::take(&mut self.retry_budgets);
         for budget in &policy.retry_budgets {
-            let known = old_budgets.iter().find(|old| old.name == budget.name);
-            let bucket = known.map_or_else(
+            let previous = old_budgets.iter().find(|old| old.name == budget.name);
+            let bucket = previous.map_or_else(
                 || Rc::new(RefCell::new(TokenBucket::new(budget.config, now))),
                 |old| Rc::clone(&old.bucket),
             );
@@ -100,8 +100,8 @@
         }
         let old_routes = std::mem::take(&mut self.routes);
         for route in &policy.routes {
-            let known = old_routes.iter().find(|old| old.name == route.name);
-            let state = known.map(|old| Rc::clone(&old.state));
+            let previous = old_routes.iter().find(|old| old.name == route.name);
+            let state = previous.map(|old| Rc::clone(&old.state));
             self.routes.push(Rc::new(ActiveRoute::new(route, state, now)));
         }
         self.policy = policy;
@@ -133,32 +133,36 @@
     }
 
     /// What is kept though no request is open.
-    pub fn left_over(&self) -> Option<String> {
-        let by_route: u32 = self.routes.iter().map(|route| route.state.borrow().in_flight).sum();
-        let (held, all, out) = (self.requests.len(), self.in_flight, self.attempts_in_flight);
-        let idle = held == 0 && all == 0 && out == 0 && by_route == 0;
-        (!idle).then(|| format!("limits: {held} held, {all} in flight, {by_route} by route, {out} out"))
+    pub fn leaked_state(&self) -> Option<String> {
+        let route_in_flight: u32 = self.routes.iter().map(|route| route.state.borrow().in_flight).sum();
+        let (requests, in_flight, attempts) = (self.requests.len(), self.in_flight, self.attempts_in_flight);
+        let idle = requests == 0 && in_flight == 0 && attempts == 0 && route_in_flight == 0;
+        (!idle).then(|| {
+            format!(
+                "limits: {requests} held, {in_flight} in flight, {route_in_flight} by route, {attempts} out"
+            )
+        })
     }
 
     /// Hands an event to the router within, and carries out what comes back.
-    fn handle_within(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
+    fn forward_to_router(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let mut inner_actions = std::mem::take(&mut self.inner_actions);
         self.inner.handle(now, event, &mut inner_actions);
         for action in inner_actions.drain(..) {
-            self.carry_out(now, action, actions);
+            self.apply_action(now, action, actions);
         }
         self.inner_actions = inner_actions;
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, actions: &mut Vec<Action>) {
+    fn apply_action(&mut self, now: Micros, action: Action, actions: &mut Vec<Action>) {
         match action {
             Action::Send { id, server, give_up_at, begin_by } => {
-                self.send(now, WantedAttempt { id, server, give_up_at, begin_by }, actions);
+                self.handle_send(now, RequestedAttempt { id, server, give_up_at, begin_by }, actions);
             }
-            Action::Cancel { id, attempt } => self.cancel(id, attempt, actions),
+            Action::Cancel { id, attempt } => self.handle_cancel(id, attempt, actions),
             Action::Reject { id, retry_after } => {
-                let own = self.requests.get(&id).and_then(|request| request.route.limits.retry_after);
-                let retry_after = own.unwrap_or(retry_after).min(self.settings.max_retry_after);
+                let configured = self.requests.get(&id).and_then(|request| request.route.limits.retry_after);
+                let retry_after = configured.unwrap_or(retry_after).min(self.settings.max_retry_after);
                 actions.push(Action::Reject { id, retry_after });
                 self.finish(id);
             }
@@ -175,14 +179,14 @@
         while let Some(UnsentAttempt { id, attempt, outcome }) = self.unsent.pop_front() {
             let last = self.requests.get(&id).is_none_or(|request| request.finished);
             let ended = Event::AttemptEnded { id, attempt, outcome, took: None, last };
-            self.handle_within(now, ended, actions);
+            self.forward_to_router(now, ended, actions);
             self.remove_if_done(id);
         }
     }
 
     /// Takes up the endpoint list. What was learnt of a server's old process is void once it has started anew.
-    fn on_endpoints(&mut self, members: &[Endpoint], whole: bool) {
-        let update = self.endpoints.update(members, whole);
+    fn on_endpoints(&mut self, endpoints: &[Endpoint], is_full_list: bool) {
+        let update = self.endpoints.update(endpoints, is_full_list);
         for route in &self.routes {
             let mut state = route.state.borrow_mut();
             for server in &update.restarted {
@@ -190,7 +194,7 @@
                     breaker.reset();
                 }
             }
-            for server in &update.forgotten {
+            for server in &update.removed {
                 state.breakers.remove(server);
             }
         }
@@ -208,28 +212,28 @@
             }
             Event::ClientLeft(id) => {
                 self.finish(id);
-                self.handle_within(now, Event::ClientLeft(id), actions);
+                self.forward_to_router(now, Event::ClientLeft(id), actions);
                 self.remove_if_done(id);
             }
             Event::Timer(number) => match TimerToken::decode(number) {
                 Some(token) => self.on_timer(now, token, actions),
-                None => self.handle_within(now, event, actions),
+                None => self.forward_to_router(now, event, actions),
             },
             Event::ReplyStarted { id, attempt, took } => {
                 let index = self.requests.get(&id).and_then(|request| request.index_of(attempt));
                 let attempt = index.map_or(attempt, |index| index as u32);
-                self.handle_within(now, Event::ReplyStarted { id, attempt, took }, actions);
+                self.forward_to_router(now, Event::ReplyStarted { id, attempt, took }, actions);
             }
-            Event::EndpointList(members) => {
-                self.on_endpoints(members, true);
-                self.handle_within(now, event, actions);
+            Event::EndpointList(endpoints) => {
+                self.on_endpoints(endpoints, true);
+                self.forward_to_router(now, event, actions);
             }
-            Event::EndpointUpdate(members) => {
-                self.on_endpoints(members, false);
-                self.handle_within(now, event, actions);
+            Event::EndpointUpdate(endpoints) => {
+                self.on_endpoints(endpoints, false);
+                self.forward_to_router(now, event, actions);
             }
             Event::DiscoveryError | Event::HedgeGranted(_) | Event::AnswerNow(_) => {
-                self.handle_within(now, event, actions);
+                self.forward_to_router(now, event, actions);
             }
         }
         self.report_unsent(now, actions);
@@ -237,7 +241,7 @@
 
     fn timer_request(&self, token: u64) -> Option<RequestId> {
         match TimerToken::decode(token) {
-            Some(own) => Some(own.request()),
+            Some(token) => Some(token.request()),
             None => self.inner.timer_request(token),
         }
     }
--- a/limits/src/layer/request.rs
+++ b/limits/src/layer/request.rs
@@ -1,15 +1,15 @@
 //! A request that the layer holds, with its attempts.
 
-use super::metrics::Withheld;
+use super::metrics::WithholdReason;
 use super::route::ActiveRoute;
 use crate::policy::{Hedging, RetryRule};
 use notchdoor::{Effect, Micros, ServerId};
 use std::rc::Rc;
 
 /// A retry is not begun with less than this share of an attempt's time left: it could not end.
-const MIN_SHARE_OF_ATTEMPT_LEFT: f64 = 0.25;
+const MIN_RETRY_TIME_SHARE: f64 = 0.25;
 /// An attempt is given this long at the least, however little time its client has.
-const MIN_ATTEMPT_TIMEOUT: f64 = 1_000.0;
+const MIN_ATTEMPT_TIMEOUT_US: f64 = 1_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
@@ -38,19 +38,19 @@
     pub(super) route: Rc<ActiveRoute>,
     pub(super) effect: Effect,
     pub(super) write: bool,
-    pub(super) arrived: Micros,
+    pub(super) arrived_at: Micros,
     pub(super) deadline: Micros,
     /// How much shorter its time is than its route's: its waits and time-outs shrink as much.
     pub(super) time_scale: f64,
     pub(super) attempts: Vec<Attempt>,
     /// Attempts sent outside.
-    pub(super) sent: u32,
+    pub(super) attempts_sent: u32,
     /// Attempts in flight outside.
-    pub(super) in_flight: u32,
+    pub(super) attempts_in_flight: u32,
     /// It has its final answer, or its client has left.
     pub(super) finished: bool,
     /// Whether the latest attempt failed.
-    pub(super) last_failed: bool,
+    pub(super) last_attempt_failed: bool,
     /// When the first attempt that may have run was sent.
     pub(super) may_have_run_since: Option<Micros>,
     /// Its hedged request has been paid for.
@@ -60,25 +60,25 @@
 impl InFlightRequest {
     /// Whether the next attempt would run beside another one.
     pub(super) fn is_hedge(&self) -> bool {
-        self.in_flight > 0
+        self.attempts_in_flight > 0
     }
 
     /// Whether the route's limits, apart from breakers and budgets, allow one more attempt now.
-    pub(super) fn may_attempt(&self, now: Micros) -> Result<(), Withheld> {
+    pub(super) fn check_attempt(&self, now: Micros) -> Result<(), WithholdReason> {
         let limits = &self.route.limits;
-        if limits.max_attempts.is_some_and(|max| self.sent >= max) {
-            return Err(Withheld::AttemptsExhausted);
+        if limits.max_attempts.is_some_and(|max| self.attempts_sent >= max) {
+            return Err(WithholdReason::AttemptsExhausted);
         }
-        let retry = self.last_failed || self.is_hedge();
+        let retry = self.last_attempt_failed || self.is_hedge();
         if retry && self.may_have_run_since.is_some() && limits.retry == RetryRule::Never {
-            return Err(Withheld::FutileRetry);
+            return Err(WithholdReason::FutileRetry);
         }
         let attempt = limits.attempt_timeout.map_or(0.0, |timeout| timeout as f64 * self.time_scale);
-        if retry && (now as f64 + MIN_SHARE_OF_ATTEMPT_LEFT * attempt) >= self.deadline as f64 {
-            return Err(Withheld::FutileRetry);
+        if retry && (now as f64 + MIN_RETRY_TIME_SHARE * attempt) >= self.deadline as f64 {
+            return Err(WithholdReason::FutileRetry);
         }
         if self.is_hedge() && limits.hedging != Hedging::RouterDefault && !self.hedge_granted {
-            return Err(Withheld::BudgetExhausted);
+            return Err(WithholdReason::BudgetExhausted);
         }
         Ok(())
     }
@@ -87,17 +87,17 @@
     pub(super) fn dispatch(&mut self, index: usize, now: Micros) -> Micros {
         let time_scale = self.time_scale;
         let timeout = self.route.limits.attempt_timeout;
-        let timeout = timeout.map(|t| (t as f64 * time_scale).max(MIN_ATTEMPT_TIMEOUT) as Micros);
+        let timeout = timeout.map(|t| (t as f64 * time_scale).max(MIN_ATTEMPT_TIMEOUT_US) as Micros);
         let attempt = &mut self.attempts[index];
-        attempt.number = Some(self.sent);
+        attempt.number = Some(self.attempts_sent);
         attempt.state = AttemptState::InFlight;
         attempt.sent_at = now;
-        let until =
+        let router_limit =
             if attempt.give_up_at == 0 { self.deadline } else { attempt.give_up_at.min(self.deadline) };
-        self.sent += 1;
-        self.in_flight += 1;
-        self.last_failed = false;
-        timeout.map_or(until, |timeout| until.min(now.saturating_add(timeout)))
+        self.attempts_sent += 1;
+        self.attempts_in_flight += 1;
+        self.last_attempt_failed = false;
+        timeout.map_or(router_limit, |timeout| router_limit.min(now.saturating_add(timeout)))
     }
 
     /// The place of an attempt by its number outside.
@@ -116,7 +116,7 @@
 
     /// Whether a hedged request may be sent beside its one attempt.
     pub(super) fn may_hedge(&self) -> bool {
-        let only_attempt = self.in_flight == 1 && self.attempts.len() == 1;
+        let only_attempt = self.attempts_in_flight == 1 && self.attempts.len() == 1;
         only_attempt && !self.write && self.effect == Effect::Idempotent && !self.hedge_granted
     }
 
@@ -131,6 +131,6 @@
 
     /// Everything is over: it may be forgotten.
     pub(super) fn is_done(&self) -> bool {
-        self.finished && self.in_flight == 0
+        self.finished && self.attempts_in_flight == 0
     }
 }
--- a/limits/src/layer/route.rs
+++ b/limits/src/layer/route.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// The quantile of a route without hedging; it says when room comes back after a rejection.
-const DEFAULT_QUANTILE: f64 = 0.95;
+const DEFAULT_LATENCY_QUANTILE: f64 = 0.95;
 
 /// What a route has learnt and has in flight; kept over reloads.
 pub(super) struct RouteState {
@@ -31,23 +31,23 @@
 
 impl ActiveRoute {
     /// A route with the state that one of the same name had before, if there was one.
-    pub(super) fn new(route: &Route, known: Option<Rc<RefCell<RouteState>>>, now: Micros) -> Self {
+    pub(super) fn new(route: &Route, previous: Option<Rc<RefCell<RouteState>>>, now: Micros) -> Self {
         let limits = route.limits.clone();
         let (quantile, ratio) = match limits.hedging {
             Hedging::AfterQuantile { quantile, ratio } => (quantile, ratio),
-            Hedging::RouterDefault | Hedging::Never => (DEFAULT_QUANTILE, 0.0),
+            Hedging::RouterDefault | Hedging::Never => (DEFAULT_LATENCY_QUANTILE, 0.0),
         };
-        let hedging = TokenBucketConfig { tokens_per_request: ratio, tokens_per_s: 0.0 };
-        let state = known.unwrap_or_else(|| {
+        let hedge_budget = TokenBucketConfig { tokens_per_request: ratio, tokens_per_s: 0.0 };
+        let state = previous.unwrap_or_else(|| {
             Rc::new(RefCell::new(RouteState {
                 in_flight: 0,
                 limiter: None,
                 latency: LatencyQuantile::new(quantile),
-                hedge_budget: TokenBucket::new(hedging, now),
+                hedge_budget: TokenBucket::new(hedge_budget, now),
                 breakers: FxHashMap::default(),
             }))
         });
-        state.borrow_mut().reconfigure(&limits, quantile, hedging);
+        state.borrow_mut().reconfigure(&limits, quantile, hedge_budget);
         ActiveRoute { name: route.name.clone(), limits, state }
     }
 
@@ -64,9 +64,9 @@
 }
 
 impl RouteState {
-    fn reconfigure(&mut self, limits: &RouteLimits, quantile: f64, hedging: TokenBucketConfig) {
+    fn reconfigure(&mut self, limits: &RouteLimits, quantile: f64, hedge_budget: TokenBucketConfig) {
         self.latency.reconfigure(quantile);
-        self.hedge_budget.reconfigure(hedging);
+        self.hedge_budget.reconfigure(hedge_budget);
         match (limits.concurrency, &mut self.limiter) {
             (Some(ConcurrencyLimit::Adaptive(bounds)), Some(limiter)) => limiter.reconfigure(bounds),
             (Some(ConcurrencyLimit::Adaptive(bounds)), none) => *none = Some(ConcurrencyLimiter::new(bounds)),
--- a/limits/src/layer/timer_token.rs
+++ b/limits/src/layer/timer_token.rs
@@ -3,7 +3,7 @@
 use notchdoor::RequestId;
 
 /// Tokens of this layer have this bit; those from within never do.
-pub(super) const OWN_BIT: u64 = 1 << 62;
+pub(super) const LAYER_BIT: u64 = 1 << 62;
 const HEDGE_BIT: u64 = 1;
 
 /// What a timer of the layer is for.
@@ -18,15 +18,15 @@
 impl TimerToken {
     pub(super) fn encode(self) -> u64 {
         match self {
-            TimerToken::Retry(id) => OWN_BIT | id << 1,
-            TimerToken::Hedge(id) => OWN_BIT | id << 1 | HEDGE_BIT,
+            TimerToken::Retry(id) => LAYER_BIT | id << 1,
+            TimerToken::Hedge(id) => LAYER_BIT | id << 1 | HEDGE_BIT,
         }
     }
 
     /// The layer's token that a number is; `None` for one from within.
     pub(super) fn decode(token: u64) -> Option<Self> {
-        let id = (token & !OWN_BIT) >> 1;
-        match (token & OWN_BIT != 0, token & HEDGE_BIT != 0) {
+        let id = (token & !LAYER_BIT) >> 1;
+        match (token & LAYER_BIT != 0, token & HEDGE_BIT != 0) {
             (false, _) => None,
             (true, false) => Some(TimerToken::Retry(id)),
             (true, true) => Some(TimerToken::Hedge(id)),
--- a/limits/src/policy.rs
+++ b/limits/src/policy.rs
@@ -34,9 +34,9 @@
 
     /// Whether everything that `other` takes is taken here.
     pub fn covers(&self, other: &RouteMatch) -> bool {
-        let same = |a: Option<u32>, b: Option<u32>| a.is_none() || a == b;
-        same(self.class, other.class)
-            && same(self.tenant, other.tenant)
+        let covers_index = |a: Option<u32>, b: Option<u32>| a.is_none() || a == b;
+        covers_index(self.class, other.class)
+            && covers_index(self.tenant, other.tenant)
             && (self.write.is_none() || self.write == other.write)
             && other.prefix.starts_with(&self.prefix)
     }
@@ -58,7 +58,7 @@
 
 impl Backoff {
     /// The longest wait before the `retry`-th retry, from 1.
-    pub fn longest(&self, retry: u32) -> Micros {
+    pub fn max_delay(&self, retry: u32) -> Micros {
         let doublings = retry.clamp(1, MAX_DOUBLINGS + 1) - 1;
         self.initial.saturating_mul(1 << doublings).min(self.max)
     }
@@ -148,9 +148,9 @@
 
 impl RouteLimits {
     /// The longest that all attempts and the waits between them take.
-    pub fn worst_case(&self, default_max_attempts: u32) -> Option<Micros> {
+    pub fn worst_case_duration(&self, default_max_attempts: u32) -> Option<Micros> {
         let attempts = self.max_attempts.unwrap_or(default_max_attempts);
-        let waits: Micros = (1..attempts).map(|n| self.backoff.map_or(0, |b| b.longest(n))).sum();
+        let waits: Micros = (1..attempts).map(|n| self.backoff.map_or(0, |b| b.max_delay(n))).sum();
         Some(self.attempt_timeout?.saturating_mul(u64::from(attempts)).saturating_add(waits))
     }
 }
@@ -208,8 +208,9 @@
     /// The group of a key, for [`Request::group`]: the longest prefix that any route names and that it begins
     /// with, as its place among all prefixes, from 1; 0 for none.
     pub fn group(&self, key: &[u8]) -> u32 {
-        let fits = |(_, prefix): &(usize, &Vec<u8>)| key.starts_with(prefix);
-        let longest = self.prefixes.iter().enumerate().filter(fits).max_by_key(|(_, prefix)| prefix.len());
+        let is_prefix = |(_, prefix): &(usize, &Vec<u8>)| key.starts_with(prefix);
+        let longest =
+            self.prefixes.iter().enumerate().filter(is_prefix).max_by_key(|(_, prefix)| prefix.len());
         longest.map_or(0, |(i, _)| i as u32 + 1)
     }
 
@@ -219,7 +220,7 @@
             Some(group) => self.prefixes.get(group as usize).map_or(&[][..], Vec::as_slice),
             None => &[],
         };
-        let takes = |r: &Route| r.matcher.matches(request, prefix);
-        self.routes.iter().position(takes).unwrap_or(self.routes.len().saturating_sub(1))
+        let matches = |r: &Route| r.matcher.matches(request, prefix);
+        self.routes.iter().position(matches).unwrap_or(self.routes.len().saturating_sub(1))
     }
 }
--- a/limits/src/policy_file/mod.rs
+++ b/limits/src/policy_file/mod.rs
@@ -34,15 +34,15 @@
 }
 
 /// Larger files are refused: no deployment has so many routes.
-const MAX_BYTES: usize = 1 << 20;
+const MAX_FILE_BYTES: usize = 1 << 20;
 const ROOT_KEYS: [&str; 5] = ["default", "route", "budget", "window", "room"];
 
 /// Reads and checks a policy. The errors come in the order of the file, all of them.
 pub fn parse(file: &str, text: &str, context: &PolicyContext) -> Result<Policy, Vec<PolicyError>> {
     let mut reader = Reader::new(file, text);
     let whole_file = || "file".to_owned();
-    if text.len() > MAX_BYTES {
-        reader.report(&(0..0), whole_file(), format!("is larger than {MAX_BYTES} bytes"));
+    if text.len() > MAX_FILE_BYTES {
+        reader.report(&(0..0), whole_file(), format!("is larger than {MAX_FILE_BYTES} bytes"));
         return Err(reader.into_errors());
     }
     match Document::parse(text) {
@@ -71,8 +71,8 @@
     let mut sections = SectionReader { reader, root, context };
     let retry_budgets = sections.retry_budgets();
     let budget_names: Vec<&str> = retry_budgets.iter().map(|budget| budget.name.as_str()).collect();
-    let most_room = context.settings.max_in_flight.max(1);
-    let max_in_flight = sections.reader.integer(root, "room", 1..=most_room);
+    let max_room = context.settings.max_in_flight.max(1);
+    let max_in_flight = sections.reader.integer(root, "room", 1..=max_room);
     let window_shares = sections.window_shares();
     let default = sections.default_route(&budget_names);
     let mut routes = sections.routes(&default.route.limits, &budget_names);
--- a/limits/src/policy_file/reader.rs
+++ b/limits/src/policy_file/reader.rs
@@ -8,8 +8,8 @@
 
 /// A name in the file is taken for a misspelt known one if they differ by this many edits, and one more for every
 /// so many letters.
-const NEAR_EDITS: usize = 1;
-const LETTERS_PER_FURTHER_EDIT: usize = 4;
+const BASE_EDIT_DISTANCE: usize = 1;
+const CHARS_PER_EXTRA_EDIT: usize = 4;
 
 /// A table of the file: its path, and its place for what it lacks.
 pub(super) struct Section<'i> {
@@ -111,7 +111,7 @@
         kind: &str,
         known: &[&str],
     ) {
-        self.report(&section.key_span(key), section.path(key), unknown_name(kind, key, known));
+        self.report(&section.key_span(key), section.path(key), unknown_name_message(kind, key, known));
     }
 
     pub(super) fn require(&mut self, section: &Section<'_>, keys: &[&str]) {
@@ -126,7 +126,7 @@
         key: &str,
         range: RangeInclusive<Micros>,
     ) -> Option<Micros> {
-        let duration = match parsed_duration(section.table.get(key)?) {
+        let duration = match parse_duration_item(section.table.get(key)?) {
             Ok(duration) => duration,
             Err(message) => {
                 self.report_value(section, key, message);
@@ -203,11 +203,11 @@
         known: &[&str],
     ) -> Option<usize> {
         let name = self.string(section, key)?;
-        let place = known.iter().position(|k| *k == name);
-        if place.is_none() {
-            self.report_value(section, key, unknown_name(kind, &name, known));
+        let index = known.iter().position(|k| *k == name);
+        if index.is_none() {
+            self.report_value(section, key, unknown_name_message(kind, &name, known));
         }
-        place
+        index
     }
 
     /// A table within this one.
@@ -226,7 +226,7 @@
 }
 
 /// The duration that a value says, or what is wrong with it.
-fn parsed_duration(item: &Item) -> Result<Micros, String> {
+fn parse_duration_item(item: &Item) -> Result<Micros, String> {
     match item.as_value() {
         Some(Value::String(text)) => {
             let duration = humantime::parse_duration(text.value());
@@ -246,7 +246,7 @@
 }
 
 /// What is said of a name that is not known: the nearest known one, or all of them.
-fn unknown_name(kind: &str, name: &str, known: &[&str]) -> String {
+fn unknown_name_message(kind: &str, name: &str, known: &[&str]) -> String {
     match nearest(name, known) {
         Some(near) => format!("no {kind} is called '{name}'; did you mean '{near}'?"),
         None if known.is_empty() => format!("no {kind} is called '{name}'; there is none"),
@@ -255,7 +255,7 @@
 }
 
 fn nearest<'n>(name: &str, known: &[&'n str]) -> Option<&'n str> {
-    let most_edits = NEAR_EDITS + name.len() / LETTERS_PER_FURTHER_EDIT;
+    let max_edits = BASE_EDIT_DISTANCE + name.len() / CHARS_PER_EXTRA_EDIT;
     let edits = |k: &&str| strsim::damerau_levenshtein(name, k);
-    known.iter().filter(|k| edits(k) <= most_edits).min_by_key(|k| edits(k)).copied()
+    known.iter().filter(|k| edits(k) <= max_edits).min_by_key(|k| edits(k)).copied()
 }
--- a/limits/src/policy_file/route_limits.rs
+++ b/limits/src/policy_file/route_limits.rs
@@ -27,20 +27,20 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-const TIMEOUTS: RangeInclusive<Micros> = MILLISECOND..=HOUR;
-const WAITS: RangeInclusive<Micros> = 0..=HOUR;
+const TIMEOUT_RANGE: RangeInclusive<Micros> = MILLISECOND..=HOUR;
+const BACKOFF_RANGE: RangeInclusive<Micros> = 0..=HOUR;
 /// Windows of breakers, and how long these stay open.
-const BREAKER_TIMES: RangeInclusive<Micros> = 100 * MILLISECOND..=600 * SECOND;
-const CONCURRENCY: RangeInclusive<u32> = 1..=100_000;
+const BREAKER_DURATION_RANGE: RangeInclusive<Micros> = 100 * MILLISECOND..=600 * SECOND;
+const CONCURRENCY_RANGE: RangeInclusive<u32> = 1..=100_000;
 /// What a route may leave to others of a budget, or of what may be in flight.
-const RESERVES: RangeInclusive<f64> = 0.0..=0.9;
-const BREAKER_RATIOS: RangeInclusive<f64> = 0.05..=1.0;
+const RESERVE_RANGE: RangeInclusive<f64> = 0.0..=0.9;
+const BREAKER_RATIO_RANGE: RangeInclusive<f64> = 0.05..=1.0;
 
 const DEFAULT_JITTER: f64 = 0.5;
 const DEFAULT_MIN_ATTEMPTS: u32 = 10;
 const DEFAULT_PROBES_TO_CLOSE: u32 = 3;
 /// No share reaches it: slow answers never open the breaker.
-const NEVER_TOO_MANY_SLOW: f64 = 2.0;
+const SLOW_RATIO_DISABLED: f64 = 2.0;
 
 /// Reads the limits of one table.
 pub(super) struct LimitsReader<'r, 't> {
@@ -54,28 +54,28 @@
 impl LimitsReader<'_, '_> {
     pub(super) fn read(mut self, inherited: RouteLimits) -> RouteLimits {
         let mut limits = inherited;
-        self.unless_none("attempt", &mut limits.attempt_timeout, |r| r.duration("attempt", TIMEOUTS));
-        self.unless_none("total", &mut limits.total_timeout, |r| r.duration("total", TIMEOUTS));
+        self.override_limit("attempt", &mut limits.attempt_timeout, |r| r.duration("attempt", TIMEOUT_RANGE));
+        self.override_limit("total", &mut limits.total_timeout, |r| r.duration("total", TIMEOUT_RANGE));
         let max_attempts = 1..=self.context.settings.max_attempts;
         if let Some(attempts) = self.reader.integer(self.section, "attempts", max_attempts) {
             limits.max_attempts = Some(attempts);
         }
-        self.unless_none("backoff", &mut limits.backoff, Self::backoff);
+        self.override_limit("backoff", &mut limits.backoff, Self::backoff);
         limits.hedging = self.hedging().unwrap_or(limits.hedging);
         limits.retry = self.retry_rule().unwrap_or(limits.retry);
-        self.unless_none("budget", &mut limits.retry_budget, |r| {
+        self.override_limit("budget", &mut limits.retry_budget, |r| {
             r.reader.choice(r.section, "budget", "budget", r.budgets)
         });
         limits.budget_reserve = self.reserve("budget_leave").unwrap_or(limits.budget_reserve);
-        self.unless_none("concurrency", &mut limits.concurrency, Self::concurrency);
-        self.unless_none("breaker", &mut limits.circuit_breaker, Self::circuit_breaker);
+        self.override_limit("concurrency", &mut limits.concurrency, Self::concurrency);
+        self.override_limit("breaker", &mut limits.circuit_breaker, Self::circuit_breaker);
         limits.reserved_capacity = self.reserve("keep_free").unwrap_or(limits.reserved_capacity);
-        self.unless_none("retry_after", &mut limits.retry_after, Self::retry_after);
+        self.override_limit("retry_after", &mut limits.retry_after, Self::retry_after);
         limits
     }
 
     /// A limit that `"none"` takes away; what is not given or is wrong leaves the inherited one.
-    fn unless_none<T>(
+    fn override_limit<T>(
         &mut self,
         key: &str,
         limit: &mut Option<T>,
@@ -93,7 +93,7 @@
     }
 
     fn reserve(&mut self, key: &str) -> Option<f64> {
-        self.reader.number(self.section, key, RESERVES)
+        self.reader.number(self.section, key, RESERVE_RANGE)
     }
 
     fn backoff(&mut self) -> Option<Backoff> {
@@ -102,8 +102,8 @@
         let reader = &mut *self.reader;
         reader.reject_unknown_keys(&table, &["first", "most", "jitter"]);
         reader.require(&table, &["first"]);
-        let initial = reader.duration(&table, "first", WAITS);
-        let max = reader.duration(&table, "most", WAITS).or(initial);
+        let initial = reader.duration(&table, "first", BACKOFF_RANGE);
+        let max = reader.duration(&table, "most", BACKOFF_RANGE).or(initial);
         let jitter = reader.number(&table, "jitter", 0.0..=1.0).unwrap_or(DEFAULT_JITTER);
         let (initial, max) = (initial?, max?);
         if initial > max {
@@ -139,15 +139,15 @@
 
     fn concurrency(&mut self) -> Option<ConcurrencyLimit> {
         if !self.section.table.get("concurrency")?.is_table_like() {
-            let fixed = self.reader.integer(self.section, "concurrency", CONCURRENCY)?;
+            let fixed = self.reader.integer(self.section, "concurrency", CONCURRENCY_RANGE)?;
             return Some(ConcurrencyLimit::Fixed(fixed));
         }
         let table = self.reader.table(self.section, "concurrency", "64 or { least = 8, most = 200 }")?;
         let reader = &mut *self.reader;
         reader.reject_unknown_keys(&table, &["least", "most"]);
         reader.require(&table, &["least", "most"]);
-        let min = reader.integer(&table, "least", CONCURRENCY);
-        let max = reader.integer(&table, "most", CONCURRENCY);
+        let min = reader.integer(&table, "least", CONCURRENCY_RANGE);
+        let max = reader.integer(&table, "most", CONCURRENCY_RANGE);
         let (min, max) = (min?, max?);
         if min > max {
             let message = format!("the least of {min} is more than the most, {max}; swap them");
@@ -169,20 +169,20 @@
             let message = format!("says nothing without '{missing}'; give both or neither");
             reader.report_value(&table, given, message);
         }
-        let failure_ratio = reader.number(&table, "failures", BREAKER_RATIOS);
-        let slow_ratio = reader.number(&table, "slow", BREAKER_RATIOS);
-        let slow_after = reader.duration(&table, "slow_after", TIMEOUTS);
-        let window = reader.duration(&table, "window", BREAKER_TIMES);
+        let failure_ratio = reader.number(&table, "failures", BREAKER_RATIO_RANGE);
+        let slow_ratio = reader.number(&table, "slow", BREAKER_RATIO_RANGE);
+        let slow_after = reader.duration(&table, "slow_after", TIMEOUT_RANGE);
+        let window = reader.duration(&table, "window", BREAKER_DURATION_RANGE);
         let min_attempts = reader.integer(&table, "least", 1..=10_000);
-        let open_for = reader.duration(&table, "open", BREAKER_TIMES);
+        let open_duration = reader.duration(&table, "open", BREAKER_DURATION_RANGE);
         let probes_to_close = reader.integer(&table, "trials", 1..=100);
         Some(CircuitBreakerConfig {
             failure_ratio: failure_ratio?,
-            slow_ratio: slow_ratio.unwrap_or(NEVER_TOO_MANY_SLOW),
+            slow_ratio: slow_ratio.unwrap_or(SLOW_RATIO_DISABLED),
             slow_after: slow_after.unwrap_or(Micros::MAX),
             window: window?,
             min_attempts: min_attempts.unwrap_or(DEFAULT_MIN_ATTEMPTS),
-            open_for: open_for?,
+            open_duration: open_duration?,
             probes_to_close: probes_to_close.unwrap_or(DEFAULT_PROBES_TO_CLOSE),
         })
     }
--- a/limits/src/policy_file/rules.rs
+++ b/limits/src/policy_file/rules.rs
@@ -26,11 +26,11 @@
 }
 
 /// Where a field that is in force at a route stands in the file.
-struct FieldPlace {
+struct FieldLocation {
     span: Range<usize>,
     path: String,
     /// Said after the message if the field is inherited.
-    inherited_by: String,
+    inherited_note: String,
 }
 
 impl RuleChecks<'_> {
@@ -38,7 +38,7 @@
         for (index, entry) in self.routes.iter().enumerate() {
             self.check_reachable(reader, index);
             for class in 0..self.context.classes.len() {
-                if self.takes_class(index, class as u32) {
+                if self.can_match_class(index, class as u32) {
                     self.class_checks(entry, class).run(reader);
                 }
             }
@@ -46,16 +46,16 @@
     }
 
     /// Whether a request of this class can come to this route: no more specific one takes all that it would.
-    fn takes_class(&self, index: usize, class: u32) -> bool {
+    fn can_match_class(&self, index: usize, class: u32) -> bool {
         let matcher = &self.routes[index].route.matcher;
         if matcher.class.is_some_and(|own| own != class) {
             return false;
         }
-        !self.covered_before(index, &RouteMatch { class: Some(class), ..matcher.clone() })
+        !self.covered_by_earlier(index, &RouteMatch { class: Some(class), ..matcher.clone() })
     }
 
     /// Whether one route before this one takes all that `wanted` would.
-    fn covered_before(&self, index: usize, wanted: &RouteMatch) -> bool {
+    fn covered_by_earlier(&self, index: usize, wanted: &RouteMatch) -> bool {
         self.routes[..index].iter().any(|earlier| earlier.route.matcher.covers(wanted))
     }
 
@@ -74,7 +74,8 @@
         }
         // Both halves of it taken by others leave nothing.
         let half = |write| RouteMatch { write: Some(write), ..matcher.clone() };
-        let both_covered = || [true, false].into_iter().all(|write| self.covered_before(index, &half(write)));
+        let both_covered =
+            || [true, false].into_iter().all(|write| self.covered_by_earlier(index, &half(write)));
         if matcher.write.is_none() && both_covered() {
             let message = "takes nothing: routes for reads and for writes take all of it; remove it";
             self.report(reader, entry, "name", message);
@@ -91,36 +92,36 @@
             limits,
             settings,
             class: &settings.classes[class],
-            name: &self.context.classes[class],
+            class_name: &self.context.classes[class],
             deadline,
             max_attempts: limits.max_attempts.unwrap_or(settings.max_attempts),
-            patience: limits.total_timeout.unwrap_or(deadline),
+            time_limit: limits.total_timeout.unwrap_or(deadline),
         }
     }
 
     fn report(&self, reader: &mut Reader<'_>, entry: &RouteEntry, field: &str, message: &str) {
-        let place = self.place(entry, field);
-        reader.report(&place.span, place.path, format!("{message}{}", place.inherited_by));
+        let location = self.locate_field(entry, field);
+        reader.report(&location.span, location.path, format!("{message}{}", location.inherited_note));
     }
 
     /// Where a field of a route stands: at the route, else at the default that it inherits from.
-    fn place(&self, entry: &RouteEntry, field: &str) -> FieldPlace {
-        let span_in = |entry: &RouteEntry| {
+    fn locate_field(&self, entry: &RouteEntry, field: &str) -> FieldLocation {
+        let find_span = |entry: &RouteEntry| {
             entry.fields.iter().find(|given| given.key == field).map(|given| given.span.clone())
         };
         let default_path = format!("default.{field}");
         let name = &entry.route.name;
         let own_path =
             if entry.is_default() { default_path.clone() } else { format!("route.{name}.{field}") };
-        if let Some(span) = span_in(entry) {
-            return FieldPlace { span, path: own_path, inherited_by: String::new() };
+        if let Some(span) = find_span(entry) {
+            return FieldLocation { span, path: own_path, inherited_note: String::new() };
         }
-        match self.routes.last().and_then(span_in) {
+        match self.routes.last().and_then(find_span) {
             Some(span) => {
-                let inherited_by = format!(" (as route '{name}' inherits it)");
-                FieldPlace { span, path: default_path, inherited_by }
+                let inherited_note = format!(" (as route '{name}' inherits it)");
+                FieldLocation { span, path: default_path, inherited_note }
             }
-            None => FieldPlace { span: entry.span.clone(), path: own_path, inherited_by: String::new() },
+            None => FieldLocation { span: entry.span.clone(), path: own_path, inherited_note: String::new() },
         }
     }
 }
@@ -133,12 +134,12 @@
     settings: &'r Settings,
     class: &'r Class,
     /// The class's name.
-    name: &'r str,
+    class_name: &'r str,
     /// How long the class's clients wait.
     deadline: Micros,
     max_attempts: u32,
     /// How long the route keeps trying.
-    patience: Micros,
+    time_limit: Micros,
 }
 
 impl ClassChecks<'_> {
@@ -161,7 +162,7 @@
         if !matches!(self.limits.hedging, Hedging::AfterQuantile { .. }) {
             return;
         }
-        let name = self.name;
+        let name = self.class_name;
         let never = "write copies = \"never\"";
         let message = match self.class.effect {
             Effect::AtMostOnce => format!(
@@ -187,18 +188,18 @@
         let Some(backoff) = self.limits.backoff else {
             return self.check_worst_case(reader, 0);
         };
-        let waits: Micros = (1..self.max_attempts).map(|retry| backoff.longest(retry)).sum();
+        let total_backoff: Micros = (1..self.max_attempts).map(|retry| backoff.max_delay(retry)).sum();
         if self.limits.attempt_timeout.is_some() {
-            return self.check_worst_case(reader, waits);
+            return self.check_worst_case(reader, total_backoff);
         }
-        if waits >= self.patience {
-            let longest_wait = self.patience / u64::from(self.max_attempts) / 2;
+        if total_backoff >= self.time_limit {
+            let longest_wait = self.time_limit / u64::from(self.max_attempts) / 2;
             let message = format!(
                 "the waits before the repeats of '{}' alone take up to {}, but it is given up after {} (rule 1); \
                  most = \"{}\" would do",
-                self.name,
-                format_duration(waits),
-                format_duration(self.patience),
+                self.class_name,
+                format_duration(total_backoff),
+                format_duration(self.time_limit),
                 format_duration(longest_wait)
             );
             self.report(reader, "backoff", &message);
@@ -209,21 +210,23 @@
         let deadline = format_duration(self.deadline);
         let message = format!(
             "{} outlasts '{}', which clients give up after {deadline} (rule 1); \"{deadline}\" would do",
-            format_duration(self.patience),
-            self.name
+            format_duration(self.time_limit),
+            self.class_name
         );
         self.report(reader, "total", &message);
     }
 
-    fn check_worst_case(&self, reader: &mut Reader<'_>, waits: Micros) {
-        let patience = self.patience.min(self.deadline);
-        let Some(worst) = self.limits.worst_case(self.max_attempts).filter(|worst| *worst > patience) else {
+    fn check_worst_case(&self, reader: &mut Reader<'_>, total_backoff: Micros) {
+        let time_limit = self.time_limit.min(self.deadline);
+        let Some(worst_case) =
+            self.limits.worst_case_duration(self.max_attempts).filter(|worst| *worst > time_limit)
+        else {
             return;
         };
-        let fitting = patience.saturating_sub(waits) / u64::from(self.max_attempts);
-        let fitting = fitting / MILLISECOND * MILLISECOND;
-        let advice = if fitting >= MILLISECOND {
-            format!("attempt = \"{}\" would do", format_duration(fitting))
+        let suggested = time_limit.saturating_sub(total_backoff) / u64::from(self.max_attempts);
+        let suggested = suggested / MILLISECOND * MILLISECOND;
+        let advice = if suggested >= MILLISECOND {
+            format!("attempt = \"{}\" would do", format_duration(suggested))
         } else {
             "shorter waits or fewer attempts would do".to_owned()
         };
@@ -231,9 +234,9 @@
             "{} attempts of '{}' and the waits between them take up to {}, but it is given up after {} (rule 1); \
              {advice}",
             self.max_attempts,
-            self.name,
-            format_duration(worst),
-            format_duration(patience)
+            self.class_name,
+            format_duration(worst_case),
+            format_duration(time_limit)
         );
         self.report(reader, "attempt", &message);
     }
@@ -245,12 +248,13 @@
             return;
         }
         let attempt_timeout = self.limits.attempt_timeout.unwrap_or(0);
-        let last_start = self.limits.worst_case(self.max_attempts).map_or(0, |worst| worst - attempt_timeout);
+        let last_start =
+            self.limits.worst_case_duration(self.max_attempts).map_or(0, |worst| worst - attempt_timeout);
         if last_start > window {
             let message = format!(
                 "the last repeat of '{}' could start {} after the first attempt, but repeats are dropped for {} only \
                  (rule 2); write repeat = \"never\" or a shorter attempt",
-                self.name,
+                self.class_name,
                 format_duration(last_start),
                 format_duration(window)
             );
@@ -266,7 +270,7 @@
             let message = format!(
                 "{} starves '{}': what a worker lacks could not be fetched, and a cold one would stay empty (rule 4); \
                  {MIN_READ_ATTEMPTS} would do",
-                self.max_attempts, self.name
+                self.max_attempts, self.class_name
             );
             self.report(reader, "attempts", &message);
         }
@@ -281,7 +285,7 @@
                 "{} is no slow answer to '{}', which is wanted within {}: servers would be left alone for what is \
                  usual; slow_after = \"{}\" would do",
                 format_duration(breaker.slow_after),
-                self.name,
+                self.class_name,
                 format_duration(objective),
                 format_duration(objective / 2)
             );
@@ -292,9 +296,10 @@
     fn check_timeouts_against_objective(&self, reader: &mut Reader<'_>) {
         let objective = self.class.latency_objective;
         let wanted = format_duration(objective);
-        let starves = |timeout: Micros, divisor: u64| timeout.saturating_mul(divisor) < objective;
-        let name = self.name;
-        if let Some(total) = self.limits.total_timeout.filter(|total| starves(*total, TOTAL_TIMEOUT_DIVISOR))
+        let is_too_short = |timeout: Micros, divisor: u64| timeout.saturating_mul(divisor) < objective;
+        let name = self.class_name;
+        if let Some(total) =
+            self.limits.total_timeout.filter(|total| is_too_short(*total, TOTAL_TIMEOUT_DIVISOR))
         {
             let total = format_duration(total);
             let message = format!(
@@ -304,10 +309,10 @@
             self.report(reader, "total", &message);
         }
         let attempt = self.limits.attempt_timeout;
-        if let Some(attempt) = attempt.filter(|attempt| starves(*attempt, ATTEMPT_TIMEOUT_DIVISOR)) {
-            let [attempt, fitting] = [attempt, objective / 2].map(format_duration);
+        if let Some(attempt) = attempt.filter(|attempt| is_too_short(*attempt, ATTEMPT_TIMEOUT_DIVISOR)) {
+            let [attempt, suggested] = [attempt, objective / 2].map(format_duration);
             let message = format!(
-                "{attempt} starves '{name}', which is wanted within {wanted}; \"{fitting}\" would do"
+                "{attempt} starves '{name}', which is wanted within {wanted}; \"{suggested}\" would do"
             );
             self.report(reader, "attempt", &message);
         }
@@ -320,7 +325,7 @@
             let message = format!(
                 "'{}' is of the most worth, and would leave room for what is worth less; leave keep_free out of its \
                  route",
-                self.name
+                self.class_name
             );
             self.report(reader, "keep_free", &message);
         }
--- a/limits/src/policy_file/sections.rs
+++ b/limits/src/policy_file/sections.rs
@@ -12,12 +12,12 @@
 const ROUTE_KEYS: [&str; 5] = ["name", "class", "tenant", "prefix", "access"];
 const MAX_ROUTES: usize = 256;
 /// Together, the retry budgets may add so many attempts to each request.
-const MAX_BUDGETS_RATIO: f64 = 1.0;
+const MAX_TOTAL_BUDGET_RATIO: f64 = 1.0;
 /// Together, the floors of all proxies' budgets may add so much of what the tenants' quotas allow.
-const MAX_FLOORS_OF_QUOTA: f64 = 0.1;
+const MAX_TOTAL_FLOOR_QUOTA_SHARE: f64 = 0.1;
 const MAX_FLOOR_PER_S: f64 = 1e6;
 /// A class's share of the origin's window where the file says nothing.
-const WHOLE_WINDOW: f64 = 1.0;
+const DEFAULT_WINDOW_SHARE: f64 = 1.0;
 const DEFAULT_ROUTE: &str = "default";
 
 /// A route as it was read, with where its fields stand.
@@ -35,7 +35,7 @@
 
 impl RouteEntry {
     /// The default route, before its table was read.
-    fn bare_default() -> Self {
+    fn empty_default() -> Self {
         let matcher = RouteMatch::default();
         let route = Route { name: DEFAULT_ROUTE.to_owned(), matcher, limits: RouteLimits::default() };
         RouteEntry { route, span: 0..0, fields: Vec::new() }
@@ -77,33 +77,33 @@
         budgets
     }
 
-    fn check_ratios(&mut self, table: &Section<'_>, this: TokenBucketConfig, sum: TokenBucketConfig) {
+    fn check_ratios(&mut self, table: &Section<'_>, current: TokenBucketConfig, sum: TokenBucketConfig) {
         let total = sum.tokens_per_request;
-        if total <= MAX_BUDGETS_RATIO {
+        if total <= MAX_TOTAL_BUDGET_RATIO {
             return;
         }
-        let fitting = (MAX_BUDGETS_RATIO - (total - this.tokens_per_request)).max(0.0);
+        let suggested = (MAX_TOTAL_BUDGET_RATIO - (total - current.tokens_per_request)).max(0.0);
         let message = format!(
             "together the budgets add {total:.2} attempts to each request, and the origin bears no more than \
-             {MAX_BUDGETS_RATIO} (rule 4); {fitting:.2} would do here"
+             {MAX_TOTAL_BUDGET_RATIO} (rule 4); {suggested:.2} would do here"
         );
         self.reader.report_value(table, "share", message);
     }
 
-    fn check_floors(&mut self, table: &Section<'_>, this: TokenBucketConfig, sum: TokenBucketConfig) {
+    fn check_floors(&mut self, table: &Section<'_>, current: TokenBucketConfig, sum: TokenBucketConfig) {
         let settings = &self.context.settings;
         let proxies = f64::from(settings.proxies.max(1));
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-        let max_floors = MAX_FLOORS_OF_QUOTA * quotas / proxies;
+        let max_floors = MAX_TOTAL_FLOOR_QUOTA_SHARE * quotas / proxies;
         let floors = sum.tokens_per_s;
         if quotas <= 0.0 || floors <= max_floors {
             return;
         }
         let fleet = floors * proxies;
-        let fitting = (max_floors - (floors - this.tokens_per_s)).max(0.0);
+        let suggested = (max_floors - (floors - current.tokens_per_s)).max(0.0);
         let message = format!(
             "together the floors of {proxies} proxies add {fleet:.1} attempts a second, over a tenth of the \
-             {quotas:.0} that the shares allow (rule 4); {fitting:.2} would do here"
+             {quotas:.0} that the shares allow (rule 4); {suggested:.2} would do here"
         );
         self.reader.report_value(table, "floor_per_s", message);
     }
@@ -111,12 +111,13 @@
     /// Each class's share of the origin's window, by its place in the settings.
     pub(super) fn window_shares(&mut self) -> Vec<f64> {
         let classes = names(&self.context.classes);
-        let mut shares = vec![WHOLE_WINDOW; classes.len()];
+        let mut shares = vec![DEFAULT_WINDOW_SHARE; classes.len()];
         let Some(table) = self.reader.table(self.root, "window", "[window]") else { return shares };
         for name in table.keys() {
             match classes.iter().position(|class| *class == name) {
                 Some(class) => {
-                    shares[class] = self.reader.number(&table, &name, 0.1..=1.0).unwrap_or(WHOLE_WINDOW);
+                    shares[class] =
+                        self.reader.number(&table, &name, 0.1..=1.0).unwrap_or(DEFAULT_WINDOW_SHARE);
                 }
                 None => self.reader.report_unknown_key(&table, &name, "class", &classes),
             }
@@ -126,7 +127,7 @@
 
     /// The route that takes what no other does, and that the others inherit from.
     pub(super) fn default_route(&mut self, budgets: &[&str]) -> RouteEntry {
-        let mut default = RouteEntry::bare_default();
+        let mut default = RouteEntry::empty_default();
         if let Some(section) = self.reader.table(self.root, DEFAULT_ROUTE, "[default]") {
             self.reader.reject_unknown_keys(&section, &LIMIT_KEYS);
             default.route.limits = self.limits(&section, RouteLimits::default(), budgets);
@@ -165,12 +166,12 @@
         budgets: &[&str],
         earlier: &[RouteEntry],
     ) -> RouteEntry {
-        let given_name = table.get("name").and_then(Item::as_str).filter(|name| !name.is_empty());
-        let name = given_name.map_or_else(|| index.to_string(), str::to_owned);
+        let configured_name = table.get("name").and_then(Item::as_str).filter(|name| !name.is_empty());
+        let name = configured_name.map_or_else(|| index.to_string(), str::to_owned);
         let span = table.span().unwrap_or(0..0);
         let section = Section { table, path: format!("route.{name}"), span };
         self.reader.reject_unknown_keys(&section, &[&LIMIT_KEYS[..], &ROUTE_KEYS].concat());
-        if given_name.is_none() {
+        if configured_name.is_none() {
             let message = "every route needs a name in quotes: messages and what it has learnt go by it";
             self.reader.report_value(&section, "name", message);
         } else if name == DEFAULT_ROUTE || earlier.iter().any(|entry| entry.route.name == name) {
@@ -190,10 +191,10 @@
         let prefix = self.reader.string(section, "prefix").unwrap_or_default();
         let access = self.reader.choice(section, "access", "access", &["read", "write"]);
         RouteMatch {
-            class: class.map(|place| place as u32),
-            tenant: tenant.map(|place| place as u32),
+            class: class.map(|index| index as u32),
+            tenant: tenant.map(|index| index as u32),
             prefix: prefix.into_bytes(),
-            write: access.map(|place| place == 1),
+            write: access.map(|index| index == 1),
         }
     }
 
--- a/limits/src/stack.rs
+++ b/limits/src/stack.rs
@@ -14,7 +14,7 @@
 }
 
 /// The settings of the router under a policy: those of the deployment, changed where the policy says so.
-pub fn settings_with(settings: &Settings, policy: &Policy) -> Settings {
+pub fn router_settings(settings: &Settings, policy: &Policy) -> Settings {
     let mut settings = settings.clone();
     for (class, share) in settings.classes.iter_mut().zip(&policy.window_shares) {
         class.window_share = *share;
@@ -28,8 +28,8 @@
         match policy {
             None => Stack::Plain(Box::new(Router::new(settings, seed, now))),
             Some(policy) => {
-                let brain = Router::new(settings_with(&settings, &policy), seed, now);
-                Stack::Limited(Box::new(LimitsLayer::new(brain, settings, policy, seed, now)))
+                let router = Router::new(router_settings(&settings, &policy), seed, now);
+                Stack::Limited(Box::new(LimitsLayer::new(router, settings, policy, seed, now)))
             }
         }
     }
@@ -67,7 +67,7 @@
     }
 
     /// What is still kept that should be gone once every request is over.
-    pub fn left_over(&self) -> Option<String> {
+    pub fn leaked_state(&self) -> Option<String> {
         let snapshot = self.router().snapshot();
         let in_flight = self.router().in_flight();
         let idle = snapshot.in_flight_requests == 0
@@ -76,7 +76,7 @@
             && in_flight == InFlight::default();
         let layer = match self {
             Stack::Plain(_) => None,
-            Stack::Limited(limits) => limits.left_over(),
+            Stack::Limited(limits) => limits.leaked_state(),
         };
         layer.or_else(|| (!idle).then(|| format!("{snapshot:?}")))
     }
--- a/limits/src/token_bucket.rs
+++ b/limits/src/token_bucket.rs
@@ -12,7 +12,7 @@
 }
 
 /// So many seconds of the floor may be saved up.
-const SAVED_SECONDS: f64 = 10.0;
+const MAX_ACCUMULATION_S: f64 = 10.0;
 /// The least capacity of a bucket.
 const MIN_CAPACITY: f64 = 10.0;
 const MICROS_PER_S: f64 = 1e6;
@@ -28,13 +28,13 @@
 impl TokenBucket {
     /// A bucket that is filled so.
     pub fn new(config: TokenBucketConfig, now: Micros) -> Self {
-        let tokens = (config.tokens_per_s * SAVED_SECONDS).min(MIN_CAPACITY);
+        let tokens = (config.tokens_per_s * MAX_ACCUMULATION_S).min(MIN_CAPACITY);
         TokenBucket { config, tokens, refilled_at: now }
     }
 
     /// The most tokens that it holds.
     pub fn capacity(&self) -> f64 {
-        (self.config.tokens_per_s * SAVED_SECONDS).max(MIN_CAPACITY)
+        (self.config.tokens_per_s * MAX_ACCUMULATION_S).max(MIN_CAPACITY)
     }
 
     /// Is filled otherwise from now on; what was saved up stays, up to the new capacity.
@@ -46,17 +46,17 @@
     fn refill(&mut self, now: Micros) {
         let seconds = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_S;
         self.refilled_at = now.max(self.refilled_at);
-        self.add(seconds * self.config.tokens_per_s);
+        self.add_tokens(seconds * self.config.tokens_per_s);
     }
 
-    fn add(&mut self, tokens: f64) {
+    fn add_tokens(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.capacity());
     }
 
     /// A request has come.
     pub fn deposit(&mut self, now: Micros) {
         self.refill(now);
-        self.add(self.config.tokens_per_request);
+        self.add_tokens(self.config.tokens_per_request);
     }
 
     /// Takes a token, if one is there beyond `reserve`, the share of the capacity that is kept for others.
--- a/limits/tests/common/mod.rs
+++ b/limits/tests/common/mod.rs
@@ -3,10 +3,10 @@
 use notchdoor::{Class, Discovery, Effect, Settings};
 
 /// A class that is wanted within so many milliseconds.
-pub fn class(aim_ms: u64, worth: f64, effect: Effect) -> Class {
+pub fn class(latency_objective_ms: u64, priority_weight: f64, effect: Effect) -> Class {
     Class {
-        latency_objective: aim_ms * 1_000,
-        priority_weight: worth,
+        latency_objective: latency_objective_ms * 1_000,
+        priority_weight,
         late_value_share: 0.2,
         effect,
         window_share: 1.0,
@@ -14,9 +14,9 @@
 }
 
 /// Settings like the platform's, for so many proxies and these classes.
-pub fn settings(balancers: u32, classes: Vec<Class>) -> Settings {
+pub fn settings(proxies: u32, classes: Vec<Class>) -> Settings {
     Settings {
-        proxies: balancers,
+        proxies,
         classes,
         tenants: vec![],
         over_quota_weight: 0.05,
--- a/limits/tests/files.rs
+++ b/limits/tests/files.rs
@@ -9,15 +9,15 @@
 
 const MS: u64 = 1_000;
 
-fn facts() -> PolicyContext {
-    let keyed = |scope| Effect::Deduplicated { scope, window: 1_000 * MS };
+fn context() -> PolicyContext {
+    let deduplicated = |scope| Effect::Deduplicated { scope, window: 1_000 * MS };
     let mut settings = common::settings(
         4,
         vec![
             common::class(750, 2.0, Effect::Idempotent),
-            common::class(800, 3.0, keyed(Scope::All)),
+            common::class(800, 3.0, deduplicated(Scope::All)),
             common::class(300, 8.0, Effect::AtMostOnce),
-            common::class(800, 3.0, keyed(Scope::Zone)),
+            common::class(800, 3.0, deduplicated(Scope::Zone)),
         ],
     );
     settings.tenants = vec![Tenant { quota_per_s: 93.0 }, Tenant { quota_per_s: 107.0 }];
@@ -29,21 +29,21 @@
     }
 }
 
-fn problems(text: &str, facts: &PolicyContext) -> Vec<String> {
-    parse("p", text, facts).err().unwrap_or_default().iter().map(ToString::to_string).collect()
+fn error_messages(text: &str, context: &PolicyContext) -> Vec<String> {
+    parse("p", text, context).err().unwrap_or_default().iter().map(ToString::to_string).collect()
 }
 
 /// A route for the reads with this in it, after one line for its head and two for name and class.
-fn read(body: &str) -> String {
+fn read_route(body: &str) -> String {
     format!("[[route]]\nname = 'r'\nclass = 'read'\n{body}\n")
 }
 
-fn of(class: &str, body: &str) -> String {
+fn class_route(class: &str, body: &str) -> String {
     format!("[[route]]\nname = 'r'\nclass = '{class}'\n{body}\n")
 }
 
 #[test]
-fn every_bad_file_is_refused_with_its_exact_message() {
+fn invalid_files_are_rejected_with_exact_messages() {
     let cases: Vec<(String, &str)> = vec![
         // What is no file of this form.
         ("x = [".into(), "p:1:6: file: is no TOML: "),
@@ -58,52 +58,52 @@
         ("[[route]]\nname = 5\n".into(), "p:2:8: route.0.name: every route needs a name in quotes: messages and what it has learnt go by it"),
         ("[[route]]\nname = 'default'\nclass = 'read'\n".into(), "p:2:8: route.default.name: 'default' is taken; give it another name"),
         ("[[route]]\nname = 'a'\nclass = 'read'\n[[route]]\nname = 'a'\nclass = 'fix'\n".into(), "p:5:8: route.a.name: 'a' is taken; give it another name"),
-        (of("raed", ""), "p:3:9: route.r.class: no class is called 'raed'; did you mean 'read'?"),
-        (of("zzzzzzzz", ""), "p:3:9: route.r.class: no class is called 'zzzzzzzz'; there are read, fix, close, zoned"),
-        (read("tenant = 'acne'"), "p:4:10: route.r.tenant: no tenant is called 'acne'; did you mean 'acme'?"),
-        (read("access = 'raed'"), "p:4:10: route.r.access: no access is called 'raed'; did you mean 'read'?"),
-        (read("prefix = 7"), "p:4:10: route.r.prefix: should be text in quotes"),
-        (read("budget = 'reads'"), "p:4:10: route.r.budget: no budget is called 'reads'; there is none"),
-        (read("repeat = 'always'"), "p:4:10: route.r.repeat: no way of repeating is called 'always'; there are class, never"),
-        (read("copies = 'nevr'"), "p:4:10: route.r.copies: no way of second copies is called 'nevr'; did you mean 'never'?"),
-        (read("attemps = 2"), "p:4:1: route.r.attemps: no field is called 'attemps'; did you mean 'attempt'?"),
+        (class_route("raed", ""), "p:3:9: route.r.class: no class is called 'raed'; did you mean 'read'?"),
+        (class_route("zzzzzzzz", ""), "p:3:9: route.r.class: no class is called 'zzzzzzzz'; there are read, fix, close, zoned"),
+        (read_route("tenant = 'acne'"), "p:4:10: route.r.tenant: no tenant is called 'acne'; did you mean 'acme'?"),
+        (read_route("access = 'raed'"), "p:4:10: route.r.access: no access is called 'raed'; did you mean 'read'?"),
+        (read_route("prefix = 7"), "p:4:10: route.r.prefix: should be text in quotes"),
+        (read_route("budget = 'reads'"), "p:4:10: route.r.budget: no budget is called 'reads'; there is none"),
+        (read_route("repeat = 'always'"), "p:4:10: route.r.repeat: no way of repeating is called 'always'; there are class, never"),
+        (read_route("copies = 'nevr'"), "p:4:10: route.r.copies: no way of second copies is called 'nevr'; did you mean 'never'?"),
+        (read_route("attemps = 2"), "p:4:1: route.r.attemps: no field is called 'attemps'; did you mean 'attempt'?"),
         ("[default]\nclass = 'read'\n".into(), "p:2:1: default.class: no field is called 'class'; there are attempt, total, attempts, backoff, copies, repeat, budget, budget_leave, concurrency, breaker, keep_free, retry_after"),
         // Units and numbers.
-        (read("attempt = 300"), "p:4:11: route.r.attempt: 300 has no unit; write \"300ms\" or \"300s\""),
-        (read("attempt = 0.3"), "p:4:11: route.r.attempt: 0.3 has no unit; write a time such as \"1500ms\""),
-        (read("attempt = 'soon'"), "p:4:11: route.r.attempt: 'soon' is no time; \"300ms\" or \"2s\" would be"),
-        (read("attempt = true"), "p:4:11: route.r.attempt: should be a time such as \"300ms\""),
-        (read("attempt = '0ms'"), "p:4:11: route.r.attempt: 0s is out of range; 1ms to 1h is allowed"),
-        (read("total = '2h'"), "p:4:9: route.r.total: 2h is out of range; 1ms to 1h is allowed"),
-        (read("attempts = 4"), "p:4:12: route.r.attempts: 4 is out of range; 1 to 3 is allowed"),
-        (read("attempts = 0"), "p:4:12: route.r.attempts: 0 is out of range; 1 to 3 is allowed"),
-        (read("attempts = 1.5"), "p:4:12: route.r.attempts: should be a whole number from 1 to 3"),
-        (read("attempts = -1"), "p:4:12: route.r.attempts: -1 is out of range; 1 to 3 is allowed"),
-        (read("keep_free = nan"), "p:4:13: route.r.keep_free: nan is no number; 0 to 0.9 is allowed"),
-        (read("keep_free = inf"), "p:4:13: route.r.keep_free: inf is out of range; 0 to 0.9 is allowed"),
-        (read("keep_free = 1.0"), "p:4:13: route.r.keep_free: 1 is out of range; 0 to 0.9 is allowed"),
-        (read("keep_free = 'x'"), "p:4:13: route.r.keep_free: should be a number from 0 to 0.9"),
-        (read("budget_leave = 2"), "p:4:16: route.r.budget_leave: 2 is out of range; 0 to 0.9 is allowed"),
-        (read("retry_after = '2s'"), "p:4:15: route.r.retry_after: 2s is out of range; 0s to 1s is allowed"),
+        (read_route("attempt = 300"), "p:4:11: route.r.attempt: 300 has no unit; write \"300ms\" or \"300s\""),
+        (read_route("attempt = 0.3"), "p:4:11: route.r.attempt: 0.3 has no unit; write a time such as \"1500ms\""),
+        (read_route("attempt = 'soon'"), "p:4:11: route.r.attempt: 'soon' is no time; \"300ms\" or \"2s\" would be"),
+        (read_route("attempt = true"), "p:4:11: route.r.attempt: should be a time such as \"300ms\""),
+        (read_route("attempt = '0ms'"), "p:4:11: route.r.attempt: 0s is out of range; 1ms to 1h is allowed"),
+        (read_route("total = '2h'"), "p:4:9: route.r.total: 2h is out of range; 1ms to 1h is allowed"),
+        (read_route("attempts = 4"), "p:4:12: route.r.attempts: 4 is out of range; 1 to 3 is allowed"),
+        (read_route("attempts = 0"), "p:4:12: route.r.attempts: 0 is out of range; 1 to 3 is allowed"),
+        (read_route("attempts = 1.5"), "p:4:12: route.r.attempts: should be a whole number from 1 to 3"),
+        (read_route("attempts = -1"), "p:4:12: route.r.attempts: -1 is out of range; 1 to 3 is allowed"),
+        (read_route("keep_free = nan"), "p:4:13: route.r.keep_free: nan is no number; 0 to 0.9 is allowed"),
+        (read_route("keep_free = inf"), "p:4:13: route.r.keep_free: inf is out of range; 0 to 0.9 is allowed"),
+        (read_route("keep_free = 1.0"), "p:4:13: route.r.keep_free: 1 is out of range; 0 to 0.9 is allowed"),
+        (read_route("keep_free = 'x'"), "p:4:13: route.r.keep_free: should be a number from 0 to 0.9"),
+        (read_route("budget_leave = 2"), "p:4:16: route.r.budget_leave: 2 is out of range; 0 to 0.9 is allowed"),
+        (read_route("retry_after = '2s'"), "p:4:15: route.r.retry_after: 2s is out of range; 0s to 1s is allowed"),
         ("room = 0\n".into(), "p:1:8: room: 0 is out of range; 1 to 20000 is allowed"),
         ("room = 30000\n".into(), "p:1:8: room: 30000 is out of range; 1 to 20000 is allowed"),
         // Tables within.
-        (read("backoff = '20ms'"), "p:4:11: route.r.backoff: should be a table such as { first = \"20ms\", most = \"200ms\", jitter = 0.5 }"),
-        (read("backoff = { most = '1s' }"), "p:4:11: route.r.backoff.first: is missing"),
-        (read("backoff = { first = '1s', most = '20ms' }"), "p:4:21: route.r.backoff.first: the first wait of 1s is longer than the longest, 20ms; swap them"),
-        (read("backoff = { first = '20ms', jitter = 2.0 }"), "p:4:38: route.r.backoff.jitter: 2 is out of range; 0 to 1 is allowed"),
-        (read("backoff = { first = '20ms', jiter = 0.2 }"), "p:4:29: route.r.backoff.jiter: no field is called 'jiter'; did you mean 'jitter'?"),
-        (read("copies = { after = 0.95 }"), "p:4:10: route.r.copies.share: is missing"),
-        (read("copies = { after = 0.2, share = 0.1 }"), "p:4:20: route.r.copies.after: 0.2 is out of range; 0.5 to 0.999 is allowed"),
-        (read("copies = { after = 0.9, share = 0.8 }"), "p:4:33: route.r.copies.share: 0.8 is out of range; 0 to 0.5 is allowed"),
-        (read("concurrency = 0"), "p:4:15: route.r.concurrency: 0 is out of range; 1 to 100000 is allowed"),
-        (read("concurrency = { least = 9, most = 3 }"), "p:4:25: route.r.concurrency.least: the least of 9 is more than the most, 3; swap them"),
-        (read("concurrency = { most = 3 }"), "p:4:15: route.r.concurrency.least: is missing"),
-        (read("breaker = { failures = 0.5, window = '3s' }"), "p:4:11: route.r.breaker.open: is missing"),
-        (read("breaker = { failures = 0.0, window = '3s', open = '1s' }"), "p:4:24: route.r.breaker.failures: 0 is out of range; 0.05 to 1 is allowed"),
-        (read("breaker = { failures = 0.5, slow = 0.5, window = '3s', open = '1s' }"), "p:4:36: route.r.breaker.slow: says nothing without 'slow_after'; give both or neither"),
-        (read("breaker = { failures = 0.5, window = '1ms', open = '1s' }"), "p:4:38: route.r.breaker.window: 1ms is out of range; 100ms to 10m is allowed"),
-        (read("breaker = { failures = 0.5, window = '3s', open = '1s', trials = 0 }"), "p:4:66: route.r.breaker.trials: 0 is out of range; 1 to 100 is allowed"),
+        (read_route("backoff = '20ms'"), "p:4:11: route.r.backoff: should be a table such as { first = \"20ms\", most = \"200ms\", jitter = 0.5 }"),
+        (read_route("backoff = { most = '1s' }"), "p:4:11: route.r.backoff.first: is missing"),
+        (read_route("backoff = { first = '1s', most = '20ms' }"), "p:4:21: route.r.backoff.first: the first wait of 1s is longer than the longest, 20ms; swap them"),
+        (read_route("backoff = { first = '20ms', jitter = 2.0 }"), "p:4:38: route.r.backoff.jitter: 2 is out of range; 0 to 1 is allowed"),
+        (read_route("backoff = { first = '20ms', jiter = 0.2 }"), "p:4:29: route.r.backoff.jiter: no field is called 'jiter'; did you mean 'jitter'?"),
+        (read_route("copies = { after = 0.95 }"), "p:4:10: route.r.copies.share: is missing"),
+        (read_route("copies = { after = 0.2, share = 0.1 }"), "p:4:20: route.r.copies.after: 0.2 is out of range; 0.5 to 0.999 is allowed"),
+        (read_route("copies = { after = 0.9, share = 0.8 }"), "p:4:33: route.r.copies.share: 0.8 is out of range; 0 to 0.5 is allowed"),
+        (read_route("concurrency = 0"), "p:4:15: route.r.concurrency: 0 is out of range; 1 to 100000 is allowed"),
+        (read_route("concurrency = { least = 9, most = 3 }"), "p:4:25: route.r.concurrency.least: the least of 9 is more than the most, 3; swap them"),
+        (read_route("concurrency = { most = 3 }"), "p:4:15: route.r.concurrency.least: is missing"),
+        (read_route("breaker = { failures = 0.5, window = '3s' }"), "p:4:11: route.r.breaker.open: is missing"),
+        (read_route("breaker = { failures = 0.0, window = '3s', open = '1s' }"), "p:4:24: route.r.breaker.failures: 0 is out of range; 0.05 to 1 is allowed"),
+        (read_route("breaker = { failures = 0.5, slow = 0.5, window = '3s', open = '1s' }"), "p:4:36: route.r.breaker.slow: says nothing without 'slow_after'; give both or neither"),
+        (read_route("breaker = { failures = 0.5, window = '1ms', open = '1s' }"), "p:4:38: route.r.breaker.window: 1ms is out of range; 100ms to 10m is allowed"),
+        (read_route("breaker = { failures = 0.5, window = '3s', open = '1s', trials = 0 }"), "p:4:66: route.r.breaker.trials: 0 is out of range; 1 to 100 is allowed"),
         // Budgets beyond what the origin can bear.
         ("[budget.a]\nshare = 0.2\n".into(), "p:1:1: budget.a.floor_per_s: is missing"),
         ("[budget.a]\nshare = 1.5\nfloor_per_s = 0\n".into(), "p:2:9: budget.a.share: 1.5 is out of range; 0 to 1 is allowed"),
@@ -112,60 +112,60 @@
         ("[window]\nraed = 0.5\n".into(), "p:2:1: window.raed: no class is called 'raed'; did you mean 'read'?"),
         ("[window]\nread = 0.0\n".into(), "p:2:8: window.read: 0 is out of range; 0.1 to 1 is allowed"),
         // The rules.
-        (of("close", "copies = { after = 0.95, share = 0.1 }"), "p:4:10: route.r.copies: second copies would reach 'close', which must never run twice (rule 2); write copies = \"never\" in a route for it"),
-        (of("zoned", "copies = { after = 0.95, share = 0.1 }"), "p:4:10: route.r.copies: second copies would reach 'zoned', whose repeats only its own group drops (rule 2); write copies = \"never\" in a route for it"),
-        (read("total = '3s'"), "p:4:9: route.r.total: 3s outlasts 'read', which clients give up after 2s (rule 1); \"2s\" would do"),
-        (of("close", "attempt = '300ms'\nattempts = 3"), "p:4:11: route.r.attempt: 3 attempts of 'close' and the waits between them take up to 900ms, but it is given up after 600ms (rule 1); attempt = \"200ms\" would do"),
-        (read("attempt = '600ms'\nattempts = 3\nbackoff = { first = '200ms', most = '1s' }"), "p:4:11: route.r.attempt: 3 attempts of 'read' and the waits between them take up to 2s400ms, but it is given up after 2s (rule 1); attempt = \"466ms\" would do"),
-        (read("attempt = '600ms'\ntotal = '1s'\nattempts = 2"), "p:4:11: route.r.attempt: 2 attempts of 'read' and the waits between them take up to 1s200ms, but it is given up after 1s (rule 1); attempt = \"500ms\" would do"),
-        (read("attempt = '600ms'\nattempts = 3\nbackoff = { first = '900ms', most = '2s' }"), "p:4:11: route.r.attempt: 3 attempts of 'read' and the waits between them take up to 4s500ms, but it is given up after 2s (rule 1); shorter waits or fewer attempts would do"),
-        (read("backoff = { first = '900ms', most = '2s' }"), "p:4:11: route.r.backoff: the waits before the repeats of 'read' alone take up to 2s700ms, but it is given up after 2s (rule 1); most = \"333ms333us\" would do"),
-        (of("fix", "attempt = '600ms'\nattempts = 3"), "p:4:11: route.r.attempt: the last repeat of 'fix' could start 1s200ms after the first attempt, but repeats are dropped for 1s only (rule 2); write repeat = \"never\" or a shorter attempt"),
-        (read("total = '50ms'"), "p:4:9: route.r.total: 50ms starves 'read', which is wanted within 750ms: next to nothing could be served; \"750ms\" would do"),
-        (read("attempt = '20ms'"), "p:4:11: route.r.attempt: 20ms starves 'read', which is wanted within 750ms; \"375ms\" would do"),
-        (read("attempts = 1"), "p:4:12: route.r.attempts: 1 starves 'read': what a worker lacks could not be fetched, and a cold one would stay empty (rule 4); 2 would do"),
-        (read("breaker = { failures = 0.5, slow = 0.5, slow_after = '35ms', window = '3s', open = '1s' }"), "p:4:11: route.r.breaker: 35ms is no slow answer to 'read', which is wanted within 750ms: servers would be left alone for what is usual; slow_after = \"375ms\" would do"),
-        (of("close", "keep_free = 0.2"), "p:4:13: route.r.keep_free: 'close' is of the most worth, and would leave room for what is worth less; leave keep_free out of its route"),
+        (class_route("close", "copies = { after = 0.95, share = 0.1 }"), "p:4:10: route.r.copies: second copies would reach 'close', which must never run twice (rule 2); write copies = \"never\" in a route for it"),
+        (class_route("zoned", "copies = { after = 0.95, share = 0.1 }"), "p:4:10: route.r.copies: second copies would reach 'zoned', whose repeats only its own group drops (rule 2); write copies = \"never\" in a route for it"),
+        (read_route("total = '3s'"), "p:4:9: route.r.total: 3s outlasts 'read', which clients give up after 2s (rule 1); \"2s\" would do"),
+        (class_route("close", "attempt = '300ms'\nattempts = 3"), "p:4:11: route.r.attempt: 3 attempts of 'close' and the waits between them take up to 900ms, but it is given up after 600ms (rule 1); attempt = \"200ms\" would do"),
+        (read_route("attempt = '600ms'\nattempts = 3\nbackoff = { first = '200ms', most = '1s' }"), "p:4:11: route.r.attempt: 3 attempts of 'read' and the waits between them take up to 2s400ms, but it is given up after 2s (rule 1); attempt = \"466ms\" would do"),
+        (read_route("attempt = '600ms'\ntotal = '1s'\nattempts = 2"), "p:4:11: route.r.attempt: 2 attempts of 'read' and the waits between them take up to 1s200ms, but it is given up after 1s (rule 1); attempt = \"500ms\" would do"),
+        (read_route("attempt = '600ms'\nattempts = 3\nbackoff = { first = '900ms', most = '2s' }"), "p:4:11: route.r.attempt: 3 attempts of 'read' and the waits between them take up to 4s500ms, but it is given up after 2s (rule 1); shorter waits or fewer attempts would do"),
+        (read_route("backoff = { first = '900ms', most = '2s' }"), "p:4:11: route.r.backoff: the waits before the repeats of 'read' alone take up to 2s700ms, but it is given up after 2s (rule 1); most = \"333ms333us\" would do"),
+        (class_route("fix", "attempt = '600ms'\nattempts = 3"), "p:4:11: route.r.attempt: the last repeat of 'fix' could start 1s200ms after the first attempt, but repeats are dropped for 1s only (rule 2); write repeat = \"never\" or a shorter attempt"),
+        (read_route("total = '50ms'"), "p:4:9: route.r.total: 50ms starves 'read', which is wanted within 750ms: next to nothing could be served; \"750ms\" would do"),
+        (read_route("attempt = '20ms'"), "p:4:11: route.r.attempt: 20ms starves 'read', which is wanted within 750ms; \"375ms\" would do"),
+        (read_route("attempts = 1"), "p:4:12: route.r.attempts: 1 starves 'read': what a worker lacks could not be fetched, and a cold one would stay empty (rule 4); 2 would do"),
+        (read_route("breaker = { failures = 0.5, slow = 0.5, slow_after = '35ms', window = '3s', open = '1s' }"), "p:4:11: route.r.breaker: 35ms is no slow answer to 'read', which is wanted within 750ms: servers would be left alone for what is usual; slow_after = \"375ms\" would do"),
+        (class_route("close", "keep_free = 0.2"), "p:4:13: route.r.keep_free: 'close' is of the most worth, and would leave room for what is worth less; leave keep_free out of its route"),
         // Routes that nothing can come to.
         ("[[route]]\nname = 'a'\nclass = 'read'\n[[route]]\nname = 'b'\nclass = 'read'\n".into(), "p:5:8: route.b.name: takes exactly what 'a' takes, and so nothing; merge the two"),
         ("[[route]]\nname = 'a'\n".into(), ""),
         ("[[route]]\nname = 'a'\nclass = 'read'\naccess = 'read'\n[[route]]\nname = 'b'\nclass = 'read'\naccess = 'write'\n[[route]]\nname = 'c'\nclass = 'read'\n".into(), "p:10:8: route.c.name: takes nothing: routes for reads and for writes take all of it; remove it"),
     ];
     assert!(cases.len() >= 60);
-    let mut wrong = String::new();
-    for (text, told) in &cases {
-        let all = problems(text, &facts());
-        let first = all.first().map_or("", String::as_str);
+    let mut mismatches = String::new();
+    for (text, expected) in &cases {
+        let messages = error_messages(text, &context());
+        let first = messages.first().map_or("", String::as_str);
         // What the TOML library words is not ours to fix.
-        let same = if told.ends_with("TOML: ") { first.starts_with(told) } else { first == *told };
-        if !same {
-            wrong += &format!("{text} got {first}\nwant {told}\n");
+        let matches =
+            if expected.ends_with("TOML: ") { first.starts_with(expected) } else { first == *expected };
+        if !matches {
+            mismatches += &format!("{text} got {first}\nwant {expected}\n");
         }
     }
-    assert!(wrong.is_empty(), "{wrong}");
+    assert!(mismatches.is_empty(), "{mismatches}");
 }
 
 #[test]
-fn what_a_default_does_to_a_class_is_told_where_it_stands() {
+fn errors_from_inherited_defaults_point_to_the_default_section() {
     let text = "[default]\ncopies = { after = 0.95, share = 0.1 }\n[[route]]\nname = 'c'\nclass = 'close'\nattempts = 2\n";
-    let all = problems(text, &facts());
+    let messages = error_messages(text, &context());
     assert_eq!(
-        all,
+        messages,
         [
             "p:2:10: default.copies: second copies would reach 'close', which must never run twice (rule 2); write copies = \"never\" in a route for it (as route 'c' inherits it)",
             "p:2:10: default.copies: second copies would reach 'zoned', whose repeats only its own group drops (rule 2); write copies = \"never\" in a route for it",
         ]
     );
-    let mended =
-        format!("{text}copies = 'never'\n[[route]]\nname = 'z'\nclass = 'zoned'\ncopies = 'never'\n");
-    assert_eq!(problems(&mended, &facts()), Vec::<String>::new());
+    let fixed = format!("{text}copies = 'never'\n[[route]]\nname = 'z'\nclass = 'zoned'\ncopies = 'never'\n");
+    assert_eq!(error_messages(&fixed, &context()), Vec::<String>::new());
     // Settings of another deployment: no retry-after, no second copies.
-    let mut other = facts();
-    (other.settings.max_retry_after, other.settings.hedging) = (0, false);
+    let mut without_retry_after = context();
+    (without_retry_after.settings.max_retry_after, without_retry_after.settings.hedging) = (0, false);
     let text =
         "[[route]]\nname = 'r'\nclass = 'read'\nretry_after = '1s'\ncopies = { after = 0.9, share = 0.1 }\n";
     assert_eq!(
-        problems(text, &other),
+        error_messages(text, &without_retry_after),
         [
             "p:4:15: route.r.retry_after: clients get no retry-after here (the settings say so); leave it out",
             "p:5:10: route.r.copies: second copies are not allowed here (the settings say so); write copies = \"never\"",
@@ -174,15 +174,15 @@
 }
 
 #[test]
-fn all_problems_are_told_at_once_in_the_order_of_the_file() {
+fn all_errors_are_returned_in_file_order() {
     let text = "room = 0\n[default]\nattempts = 9\n[[route]]\nname = 'r'\nclass = 'raed'\nattempt = 5\nkeep_free = 3\n";
-    let lines: Vec<usize> = parse("p", text, &facts()).unwrap_err().iter().map(|p| p.line).collect();
+    let lines: Vec<usize> = parse("p", text, &context()).unwrap_err().iter().map(|p| p.line).collect();
     assert_eq!(lines, [1, 3, 6, 7, 8]);
-    let shown = parse("p", text, &facts()).unwrap_err()[3].snippet();
-    assert_eq!(shown, "  |\n7 | attempt = 5\n  |           ^");
+    let snippet = parse("p", text, &context()).unwrap_err()[3].snippet();
+    assert_eq!(snippet, "  |\n7 | attempt = 5\n  |           ^");
 }
 
-const GOOD: &str = r#"
+const VALID_POLICY: &str = r#"
 room = 400
 [window]
 read = 0.75
@@ -219,8 +219,8 @@
 }
 
 #[test]
-fn the_most_specific_route_wins_and_inherits_from_the_default() {
-    let policy = parse("p", GOOD, &facts()).unwrap_or_else(|p| panic!("{p:?}"));
+fn most_specific_route_matches_and_inherits_from_the_default() {
+    let policy = parse("p", VALID_POLICY, &context()).unwrap_or_else(|p| panic!("{p:?}"));
     // class, tenant, key, the route, attempts
     for (class, tenant, key, name, attempts) in [
         (0, None, "sheet/2026/7", "old-sheets", 2),
@@ -232,15 +232,15 @@
         (2, None, "", "default", 2),
     ] {
         let request = request(&policy, class, tenant, key);
-        let explain::ChosenRoute { route, skipped } = explain::chosen_route(&policy, &request);
+        let explain::SelectedRoute { route, skipped } = explain::select_route(&policy, &request);
         assert_eq!((route.name.as_str(), route.limits.max_attempts), (name, Some(attempts)), "{key}");
         assert_eq!(skipped.len(), policy.route_index(&request), "every route before it is told of");
     }
-    let of = |name: &str| &policy.routes.iter().find(|r| r.name == name).unwrap().limits;
-    assert_eq!((of("sheets").retry_budget, of("reads").retry_budget), (None, Some(0)));
-    assert!(matches!(of("reads").hedging, Hedging::AfterQuantile { .. }));
+    let limits_of = |name: &str| &policy.routes.iter().find(|r| r.name == name).unwrap().limits;
+    assert_eq!((limits_of("sheets").retry_budget, limits_of("reads").retry_budget), (None, Some(0)));
+    assert!(matches!(limits_of("reads").hedging, Hedging::AfterQuantile { .. }));
     assert!(
-        matches!(of("acme").concurrency, Some(ConcurrencyLimit::Adaptive(b)) if (b.min, b.max) == (4, 64))
+        matches!(limits_of("acme").concurrency, Some(ConcurrencyLimit::Adaptive(b)) if (b.min, b.max) == (4, 64))
     );
     assert_eq!(
         (policy.max_in_flight, policy.window_shares.as_slice()),
@@ -249,19 +249,26 @@
 }
 
 #[test]
-fn a_timetable_is_the_worst_case_and_shrinks_with_the_client_s_time() {
+fn worst_case_timeline_scales_with_the_client_timeout() {
     let text = "[[route]]\nname = 'r'\nclass = 'read'\nattempt = '500ms'\nbackoff = { first = '100ms', most = '150ms' }\n[[route]]\nname = 'c'\nclass = 'close'\nattempt = '250ms'\nattempts = 2\n";
-    let policy = parse("p", text, &facts()).unwrap();
-    let at = |class: u32, patience: u64| -> Vec<u64> {
-        let route = explain::chosen_route(&policy, &request(&policy, class, None, "")).route;
-        explain::timetable(route, &facts(), class, patience * MS).iter().map(|s| s.at / MS).collect()
+    let policy = parse("p", text, &context()).unwrap();
+    let step_times_ms = |class: u32, client_timeout_ms: u64| -> Vec<u64> {
+        let route = explain::select_route(&policy, &request(&policy, class, None, "")).route;
+        explain::worst_case_timeline(route, &context(), class, client_timeout_ms * MS)
+            .iter()
+            .map(|s| s.at / MS)
+            .collect()
     };
-    assert_eq!(at(0, 2_000), [0, 600, 1250, 2000]);
-    assert_eq!(at(0, 1_000), [0, 600, 1000], "no total of its own: what does not fit is not begun");
-    assert_eq!(at(2, 600), [0, 250, 600], "what may have run is not repeated");
-    let shorter = policy.routes.iter().find(|r| r.name == "r").unwrap().clone();
-    let mut with_total = shorter;
+    assert_eq!(step_times_ms(0, 2_000), [0, 600, 1250, 2000]);
+    assert_eq!(
+        step_times_ms(0, 1_000),
+        [0, 600, 1000],
+        "no total of its own: what does not fit is not begun"
+    );
+    assert_eq!(step_times_ms(2, 600), [0, 250, 600], "what may have run is not repeated");
+    let read_route = policy.routes.iter().find(|r| r.name == "r").unwrap().clone();
+    let mut with_total = read_route;
     with_total.limits.total_timeout = Some(2_000 * MS);
-    let steps = explain::timetable(&with_total, &facts(), 0, 1_000 * MS);
+    let steps = explain::worst_case_timeline(&with_total, &context(), 0, 1_000 * MS);
     assert_eq!(steps.iter().map(|s| s.at / MS).collect::<Vec<_>>(), [0, 300, 625, 1000]);
 }
--- a/limits/tests/policy_fixture.rs
+++ b/limits/tests/policy_fixture.rs
@@ -15,13 +15,13 @@
 const EXAMPLE: &str = include_str!("../../deploy/policy.example.toml");
 const EVERY_KEY: &str = include_str!("data/every-key.toml");
 
-fn facts(classes: [&str; 3]) -> PolicyContext {
-    let keyed = Effect::Deduplicated { scope: Scope::All, window: 2_000 * MS };
+fn context(classes: [&str; 3]) -> PolicyContext {
+    let deduplicated = Effect::Deduplicated { scope: Scope::All, window: 2_000 * MS };
     let mut settings = common::settings(
         4,
         vec![
             common::class(750, 2.0, Effect::Idempotent),
-            common::class(800, 3.0, keyed),
+            common::class(800, 3.0, deduplicated),
             common::class(300, 8.0, Effect::AtMostOnce),
         ],
     );
@@ -34,12 +34,12 @@
     }
 }
 
-fn parsed(text: &str, facts: &PolicyContext) -> Policy {
-    parse("p", text, facts).unwrap_or_else(|problems| panic!("{problems:?}"))
+fn parse_policy(text: &str, context: &PolicyContext) -> Policy {
+    parse("p", text, context).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 #[test]
-fn the_example_file_decodes_to_this_policy() {
+fn example_policy_file_decodes_to_the_expected_policy() {
     let with_budget = RouteLimits { retry_budget: Some(0), ..RouteLimits::default() };
     let of_class = |class| RouteMatch { class: Some(class), ..RouteMatch::default() };
     let routes = vec![
@@ -75,11 +75,11 @@
         config: TokenBucketConfig { tokens_per_request: 0.5, tokens_per_s: 1.0 },
     }];
     let expected = Policy::new(routes, budgets, None, vec![0.5, 1.0, 1.0]);
-    assert_eq!(parsed(EXAMPLE, &facts(["read-sheet", "fix-hours", "close-week"])), expected);
+    assert_eq!(parse_policy(EXAMPLE, &context(["read-sheet", "fix-hours", "close-week"])), expected);
 }
 
 #[test]
-fn a_file_with_every_key_decodes_to_this_policy() {
+fn file_with_every_key_decodes_to_the_expected_policy() {
     let default = RouteLimits {
         attempt_timeout: Some(200 * MS),
         total_timeout: Some(600 * MS),
@@ -96,7 +96,7 @@
             slow_after: u64::MAX,
             window: 5_000 * MS,
             min_attempts: 10,
-            open_for: 2_000 * MS,
+            open_duration: 2_000 * MS,
             probes_to_close: 3,
         }),
         reserved_capacity: 0.0,
@@ -127,7 +127,7 @@
                     slow_after: 500 * MS,
                     window: 3_000 * MS,
                     min_attempts: 4,
-                    open_for: 1_000 * MS,
+                    open_duration: 1_000 * MS,
                     probes_to_close: 2,
                 }),
                 reserved_capacity: 0.2,
@@ -165,5 +165,5 @@
         },
     ];
     let expected = Policy::new(routes, budgets, Some(400), vec![0.5, 1.0, 0.9]);
-    assert_eq!(parsed(EVERY_KEY, &facts(["read", "fix", "close"])), expected);
+    assert_eq!(parse_policy(EVERY_KEY, &context(["read", "fix", "close"])), expected);
 }
--- a/limits/tests/text_position.rs
+++ b/limits/tests/text_position.rs
@@ -3,7 +3,7 @@
 use notchdoor_limits::text_position::{line_at, TextPosition};
 
 #[test]
-fn offsets_become_lines_and_columns() {
+fn byte_offsets_map_to_lines_and_columns() {
     let text = "ab\né = 1\n\nlast";
     for (offset, line, column, line_text) in [
         (0, 1, 1, "ab"),
--- a/proxy/src/proxy/inspect.rs
+++ b/proxy/src/proxy/inspect.rs
@@ -29,7 +29,7 @@
             timed,
         ];
         let told = || format!("held, open, places, attempts, timers: {kept:?}");
-        self.stack.left_over().or_else(|| (kept != [0; 5]).then(told))
+        self.stack.leaked_state().or_else(|| (kept != [0; 5]).then(told))
     }
 
     /// What operators are shown.
