--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -211,7 +211,7 @@
     assert_eq!(code, Some(2));
     for told in [
         "bad.toml:2:12: default.attempts: 9 is out of range",
-        "bad.toml:6:10: route.c.copies: second copies would reach 'close'",
+        "bad.toml:6:10: route.c.copies: hedged requests are not allowed for class 'close'",
         "6 | copies = { after",
     ] {
         assert!(text.contains(told), "{told}: {text}");
@@ -222,8 +222,8 @@
     for told in [
         "good: 2 routes",
         "route 'c' takes it",
-        "attempt 1, given up at 200ms",
-        "no repeat: the attempt before may have run",
+        "attempt 1, times out at 200ms",
+        "no retry: the previous attempt may have run",
         "300ms  final answer",
     ] {
         assert!(text.contains(told), "{told}: {text}");
--- a/cli/tests/policy_files.rs
+++ b/cli/tests/policy_files.rs
@@ -42,14 +42,14 @@
 fn bad_files_exit_with_2_and_name_the_place() {
     let route = "[[route]]\nname = 'r'\nclass = 'read'\n";
     let cases = [
-        ("room = [\n", "1:9: file: is no TOML: "),
+        ("room = [\n", "1:9: file: invalid TOML: "),
         ("room = 0\n", "1:8: room: 0 is out of range; 1 to 20000 is allowed"),
-        (&format!("{route}attempt = 300\n"), "4:11: route.r.attempt: 300 has no unit; write \"300ms\" or \"300s\""),
-        (&format!("{route}attemps = 2\n"), "4:1: route.r.attemps: no field is called 'attemps'; did you mean 'attempt'?"),
-        (&format!("{route}budget = 'b'\n"), "4:10: route.r.budget: no budget is called 'b'; there is none"),
-        (&format!("{route}breaker = {{ failures = 0.5 }}\n"), "4:11: route.r.breaker.window: is missing"),
-        (&format!("{route}total = '3s'\n"), "4:9: route.r.total: 3s outlasts 'read', which clients give up after 2s (rule 1); \"2s\" would do"),
-        ("[window]\nraed = 0.5\n", "2:1: window.raed: no class is called 'raed'; did you mean 'read'?"),
+        (&format!("{route}attempt = 300\n"), "4:11: route.r.attempt: duration 300 has no unit; use \"300ms\" or \"300s\""),
+        (&format!("{route}attemps = 2\n"), "4:1: route.r.attemps: unknown field 'attemps'; did you mean 'attempt'?"),
+        (&format!("{route}budget = 'b'\n"), "4:10: route.r.budget: unknown budget 'b'; none is defined"),
+        (&format!("{route}breaker = {{ failures = 0.5 }}\n"), "4:11: route.r.breaker.window: missing required field"),
+        (&format!("{route}total = '3s'\n"), "4:9: route.r.total: 3s is longer than clients of class 'read' wait, which is 2s (rule 1); use at most \"2s\""),
+        ("[window]\nraed = 0.5\n", "2:1: window.raed: unknown class 'raed'; did you mean 'read'?"),
     ];
     for (n, (text, told)) in cases.iter().enumerate() {
         let file = scratch(&n.to_string(), text);
--- a/limits/benches/events.rs
+++ b/limits/benches/events.rs
@@ -1,5 +1,5 @@
-//! What a layer costs an event, with no file and with all limits; and what one decision costs by the size of the
-//! fleet: today's, ten times that, and after thousands of workers have come and gone.
+//! Cost of handling a request without the limits layer, with an empty policy and with all limits; and cost of router
+//! decisions by fleet size and after thousands of backends have been replaced.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -48,7 +48,7 @@
     stack
 }
 
-/// Workers come and go, one by one, `n` times.
+/// Adds a backend and removes the previous one, `n` times.
 fn replace_backends(stack: &mut Stack, n: u32, now: &mut Micros) {
     for i in 1_000_000..1_000_000 + n {
         *now += 1_000;
@@ -59,10 +59,10 @@
     stack.handle(*now, Event::EndpointUpdate(&[gone]), &mut Vec::new());
 }
 
-/// How a request's attempts end, one after another, and what each takes.
+/// Outcomes and durations of a request's successive attempts.
 type AttemptEnds = &'static [(Outcome, Micros)];
 
-/// A request that arrives, and whose attempts end so, one after another, each the given time later.
+/// Runs a request through the stack. Its attempts end one after another with the given outcomes.
 fn run_request(
     stack: &mut Stack,
     now: &mut Micros,
@@ -92,14 +92,14 @@
 
 fn decision_benches(c: &mut Criterion) {
     let fleets = [
-        ("4 proxies, 15 workers", (4, 15), 0),
-        ("40 proxies, 150 workers", (40, 150), 0),
-        ("40 proxies, 150 workers after 8,000", (40, 150), 8_000),
+        ("4 proxies, 15 backends", (4, 15), 0),
+        ("40 proxies, 150 backends", (40, 150), 0),
+        ("40 proxies, 150 backends after 8,000 replacements", (40, 150), 8_000),
     ];
     let kinds: [(&str, bool, AttemptEnds); 3] = [
-        ("a hit", false, &[(Outcome::Ok, 800)]),
-        ("a miss and its fetch", false, &[(Outcome::Miss, 800), (Outcome::Ok, 800)]),
-        ("a failing worker", false, &[(Outcome::Error, 800), (Outcome::Ok, 800)]),
+        ("cache hit", false, &[(Outcome::Ok, 800)]),
+        ("cache miss and origin fetch", false, &[(Outcome::Miss, 800), (Outcome::Ok, 800)]),
+        ("failing backend", false, &[(Outcome::Error, 800), (Outcome::Ok, 800)]),
     ];
     for (fleet, size, replaced) in fleets {
         for (kind, write, attempt_ends) in kinds {
@@ -112,11 +112,11 @@
                 });
             });
         }
-        // The window is full: what comes is refused.
+        // Requests that never end fill the congestion window, so further requests are rejected.
         let (mut stack, mut now, mut id) = (stack(None, size), 0, 100);
         replace_backends(&mut stack, replaced, &mut now);
         (1..100).for_each(|id| run_request(&mut stack, &mut now, id, true, &[]));
-        c.bench_function(&format!("a refusal, {fleet}"), |b| {
+        c.bench_function(&format!("rejection, {fleet}"), |b| {
             b.iter(|| {
                 id += 1;
                 run_request(&mut stack, &mut now, id, true, &[]);
@@ -126,11 +126,9 @@
 }
 
 fn layer_benches(c: &mut Criterion) {
-    for (name, text) in [
-        ("no layer", None),
-        ("a file that limits nothing", Some("")),
-        ("all limits", Some(ALL_LIMITS_POLICY)),
-    ] {
+    for (name, text) in
+        [("no limits layer", None), ("empty policy", Some("")), ("all limits", Some(ALL_LIMITS_POLICY))]
+    {
         let (mut stack, mut now, mut id) = (stack(text, (4, 14)), 0, 0);
         c.bench_function(&format!("two events, {name}"), |b| {
             b.iter(|| {
--- a/limits/src/circuit_breaker.rs
+++ b/limits/src/circuit_breaker.rs
@@ -1,46 +1,47 @@
-//! A circuit breaker for one server: it opens when too many of its latest attempts failed or were slow, and closes
-//! after probes that went well.
+//! A circuit breaker for one server: it opens when too many recent attempts failed or were slow, and closes after
+//! enough consecutive successful probes.
 
 use notchdoor::Micros;
 
-/// When a breaker opens, and for how long.
+/// Thresholds and durations of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CircuitBreakerConfig {
-    /// The share of failed attempts at which it opens.
+    /// Share of failed attempts at which the breaker opens.
     pub failure_ratio: f64,
-    /// The share of slow attempts at which it opens; over 1 for never.
+    /// Share of slow attempts at which the breaker opens. A value above 1 disables this condition.
     pub slow_ratio: f64,
-    /// An attempt that took longer is slow.
+    /// Attempts that take longer than this count as slow.
     pub slow_after: Micros,
-    /// The time over which shares are counted.
+    /// Length of the sliding window over which both shares are computed.
     pub window: Micros,
-    /// Attempts within the window before a share is believed.
+    /// Minimum number of attempts in the window before the breaker may open.
     pub min_attempts: u32,
-    /// How long it stays open, at the least.
+    /// Minimum time for which the breaker stays open.
     pub open_duration: Micros,
-    /// Good probes in a row that close it.
+    /// Consecutive successful probes that close a half-open breaker.
     pub probes_to_close: u32,
 }
 
-/// Whether an attempt may be sent.
+/// Decision on whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The attempt may be sent.
     Allowed,
-    /// It may, as a probe; its end has to be recorded as one, or the probe released.
+    /// The attempt may be sent as a probe. The caller must record its result with `probe` set, or call
+    /// [`CircuitBreaker::release_probe`].
     Probe,
-    /// It may not.
+    /// The attempt must not be sent.
     Rejected,
 }
 
-/// How an attempt ended, as a breaker counts it.
+/// Result of an attempt, as recorded by a breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptResult {
-    /// Whether it was let through as a probe.
+    /// Whether the attempt was admitted as a probe.
     pub probe: bool,
-    /// Whether it failed.
+    /// Whether the attempt failed.
     pub failed: bool,
-    /// How long it took.
+    /// Duration of the attempt.
     pub duration: Micros,
 }
 
@@ -51,7 +52,7 @@
     HalfOpen { probe_in_flight: bool, successful_probes: u32 },
 }
 
-/// A circuit breaker.
+/// A circuit breaker that is closed, open or half-open.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     config: CircuitBreakerConfig,
@@ -61,27 +62,28 @@
 }
 
 impl CircuitBreaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new(config: CircuitBreakerConfig) -> Self {
         CircuitBreaker { config, counts: SlidingWindow::default(), state: State::Closed, times_opened: 0 }
     }
 
-    /// Goes by other settings from now on; its state stays, and a probe in flight is still one.
+    /// Replaces the settings. The state is kept, including a probe in flight.
     pub fn reconfigure(&mut self, config: CircuitBreakerConfig) {
         self.config = config;
     }
 
-    /// Times that it opened.
+    /// Number of times the breaker has opened. It is kept across [`CircuitBreaker::reset`].
     pub fn times_opened(&self) -> u64 {
         self.times_opened
     }
 
-    /// Whether it lets everything through.
+    /// Whether the breaker is closed and admits every attempt.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Whether an attempt may be sent now. A probe is in flight from then on.
+    /// Decides whether an attempt may be sent now. After `Admission::Probe`, no other probe is admitted until this one
+    /// is recorded or released.
     pub fn try_acquire(&mut self, now: Micros) -> Admission {
         if let State::Open { until } = self.state {
             if now < until {
@@ -99,15 +101,15 @@
         }
     }
 
-    /// An attempt has ended. `spread` is how much longer than its settings say the breaker stays open if this opens
-    /// it: hundreds of proxies whose breakers opened together must not probe a server that has just come back at one
-    /// moment. `None` if it must not open now.
+    /// Records the result of an attempt. If the breaker opens, it stays open for `open_jitter` in addition to the
+    /// configured duration, so that proxies whose breakers opened together do not probe the server at the same time.
+    /// With `None`, a closed breaker stays closed.
     pub fn record(&mut self, now: Micros, result: AttemptResult, open_jitter: Option<Micros>) {
         let slow = result.duration > self.config.slow_after;
         if result.probe {
             self.record_probe(now, result.failed || slow, open_jitter);
         } else if self.is_closed() {
-            // What was sent before it opened says nothing that is not known.
+            // Results of non-probe attempts that arrive while the breaker is not closed are ignored.
             self.counts.add(now, self.config.window, result.failed, slow);
             if let Some(open_jitter) = open_jitter.filter(|_| self.threshold_exceeded()) {
                 self.open(now, open_jitter);
@@ -118,7 +120,7 @@
     fn record_probe(&mut self, now: Micros, failed_or_slow: bool, open_jitter: Option<Micros>) {
         let State::HalfOpen { successful_probes, .. } = self.state else { return };
         if failed_or_slow {
-            // It was open before: no further server is left alone by that.
+            // Reopens even if `open_jitter` is `None`, since the server was already excluded.
             return self.open(now, open_jitter.unwrap_or(0));
         }
         let successful_probes = successful_probes + 1;
@@ -130,14 +132,14 @@
         }
     }
 
-    /// A probe came to nothing: it was never sent, or called off.
+    /// Allows another probe after one that was not sent or was cancelled.
     pub fn release_probe(&mut self) {
         if let State::HalfOpen { probe_in_flight, .. } = &mut self.state {
             *probe_in_flight = false;
         }
     }
 
-    /// The server has started anew: what was learnt of the old process is void.
+    /// Closes the breaker and clears its counts because the server has restarted.
     pub fn reset(&mut self) {
         *self = CircuitBreaker { times_opened: self.times_opened, ..CircuitBreaker::new(self.config) };
     }
@@ -158,7 +160,7 @@
     }
 }
 
-/// A window is counted in so many steps, of which the oldest is forgotten at a time.
+/// Number of buckets that the sliding window is divided into.
 const WINDOW_BUCKETS: u64 = 10;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -168,11 +170,11 @@
     slow: u32,
 }
 
-/// Counts of the attempts of the latest window.
+/// Attempt counts over the sliding window, as a ring of buckets.
 #[derive(Clone, Debug, Default)]
 struct SlidingWindow {
     buckets: [AttemptCounts; WINDOW_BUCKETS as usize],
-    /// The latest step, counted from time zero.
+    /// Number of the newest bucket, counted from time zero.
     latest_bucket: u64,
 }
 
@@ -185,7 +187,7 @@
         bucket.slow += u32::from(slow);
     }
 
-    /// Forgets the steps that have left the window. A time before the latest one counts as that.
+    /// Makes `bucket` the newest bucket and clears those that have left the window. An older bucket number is ignored.
     fn advance(&mut self, bucket: u64) {
         let elapsed = bucket.saturating_sub(self.latest_bucket);
         if elapsed >= WINDOW_BUCKETS {
--- a/limits/src/concurrency_limiter.rs
+++ b/limits/src/concurrency_limiter.rs
@@ -1,33 +1,34 @@
-//! A limit on requests in flight that follows the latency: less while it rises over its usual level.
+//! An adaptive limit on requests in flight that falls when latency rises above its baseline.
 //!
-//! The gradient of Netflix's concurrency-limits: `limit * clamp(tolerance * usual / now, 0.5, 1) + sqrt(limit)`,
-//! smoothed, and only where the limit is in use.
+//! Uses the gradient algorithm of Netflix's concurrency-limits:
+//! `limit * clamp(tolerance * baseline / latency, 0.5, 1) + sqrt(limit)`, smoothed. The limit rises only while it is
+//! at least half used.
 
-/// The bounds of a limit.
+/// Lower and upper bounds of an adaptive limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConcurrencyBounds {
-    /// The least that it falls to.
+    /// Lowest value of the limit.
     pub min: u32,
-    /// The most that it rises to.
+    /// Highest value of the limit.
     pub max: u32,
 }
 
-/// Latencies that make one sample.
+/// Number of latencies averaged into one sample.
 const LATENCIES_PER_SAMPLE: u32 = 32;
-/// Latency may rise by this factor over the usual before the limit falls.
+/// Factor by which latency may exceed the baseline before the limit falls.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// The limit falls to no less than this share of itself by one sample.
+/// Lower bound of the gradient applied by one sample.
 const MIN_GRADIENT: f64 = 0.5;
-/// Weight of a new limit beside the old one.
+/// Weight of the newly computed limit when it is averaged with the current one.
 const LIMIT_SMOOTHING: f64 = 0.2;
-/// Weight of a faster sample in the usual latency.
+/// Weight of a sample that is faster than the baseline.
 const BASELINE_FALL_WEIGHT: f64 = 0.5;
-/// Weight of a slower one: small, or a lasting jam would become the usual.
+/// Weight of a sample that is slower than the baseline. Small, so that lasting overload does not become the baseline.
 const BASELINE_RISE_WEIGHT: f64 = 1.0 / 64.0;
-/// A limit of which less than this share is in use does not rise.
+/// The limit does not rise while a smaller share of it is used.
 const MIN_UTILIZATION: f64 = 0.5;
 
-/// An adaptive limit.
+/// An adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     bounds: ConcurrencyBounds,
@@ -36,7 +37,7 @@
     sample: Sample,
 }
 
-/// The latencies of the sample that is being taken.
+/// The sample being collected.
 #[derive(Clone, Debug, Default)]
 struct Sample {
     latency_sum_us: f64,
@@ -45,24 +46,24 @@
 }
 
 impl ConcurrencyLimiter {
-    /// A limit that starts at the geometric mean of its bounds.
+    /// Creates a limiter whose limit starts at the geometric mean of its bounds.
     pub fn new(bounds: ConcurrencyBounds) -> Self {
         let initial_limit = (f64::from(bounds.min.max(1)) * f64::from(bounds.max)).sqrt();
         ConcurrencyLimiter { bounds, limit: initial_limit, baseline_latency: None, sample: Sample::default() }
     }
 
-    /// Keeps to other bounds from now on.
+    /// Replaces the bounds and clamps the current limit to them.
     pub fn reconfigure(&mut self, bounds: ConcurrencyBounds) {
         self.bounds = bounds;
         self.limit = self.clamped(self.limit);
     }
 
-    /// The limit now.
+    /// Current limit on requests in flight.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// A request was served after so many microseconds, while so many were in flight.
+    /// Records the latency of a successful request, in microseconds, and the number of requests in flight at that time.
     pub fn record_success(&mut self, latency_us: f64, in_flight: u32) {
         self.sample.latency_sum_us += latency_us;
         self.sample.count += 1;
@@ -81,7 +82,7 @@
         self.baseline_latency = Some(baseline);
         let gradient = (LATENCY_TOLERANCE * baseline / latency).clamp(MIN_GRADIENT, 1.0);
         let mut target = self.limit * gradient + self.limit.sqrt();
-        // Quiet times say nothing of what a higher limit would do.
+        // With few requests in flight, the latency does not show whether a higher limit is safe.
         if f64::from(sample.peak_in_flight) < self.limit * MIN_UTILIZATION {
             target = target.min(self.limit);
         }
--- a/limits/src/explain.rs
+++ b/limits/src/explain.rs
@@ -1,48 +1,48 @@
-//! Which route takes a request, and the timetable of its worst case.
+//! Explains which route matches a request, the worst-case timeline of its attempts, and the route's limits.
 
 use crate::policy::{ConcurrencyLimit, Hedging, Policy, RetryRule, Route, RouteMatch};
 use crate::policy_file::{format_duration, PolicyContext};
 use notchdoor::{Effect, Micros, Request};
 use std::fmt;
 
-/// The route that takes a request, and those that were passed over.
+/// The route that matches a request, and the routes before it that do not.
 #[derive(Clone, Debug)]
 pub struct SelectedRoute<'p> {
-    /// The route.
+    /// The matching route.
     pub route: &'p Route,
-    /// The more specific ones that do not take it.
+    /// Routes with higher precedence that do not match, in order of precedence.
     pub skipped: Vec<SkippedRoute<'p>>,
 }
 
-/// A route that does not take a request.
+/// A route that does not match a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SkippedRoute<'p> {
-    /// Its name.
+    /// Name of the route.
     pub name: &'p str,
-    /// What it takes instead.
+    /// First condition that the request does not meet.
     pub reason: SkipReason,
 }
 
-/// Why a route does not take a request.
+/// Why a route does not match a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SkipReason {
-    /// It is for another class.
+    /// The route is for another class.
     Class,
-    /// It is for another tenant.
+    /// The route is for another tenant.
     Tenant,
-    /// It takes reads alone, or writes alone.
+    /// The route matches only reads or only writes.
     Access,
-    /// It is for keys that begin otherwise.
+    /// The route is for keys with another prefix.
     Prefix,
 }
 
 impl fmt::Display for SkippedRoute<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let reason = match self.reason {
-            SkipReason::Class => "another class",
-            SkipReason::Tenant => "another tenant",
-            SkipReason::Access => "reads or writes alone",
-            SkipReason::Prefix => "another prefix",
+            SkipReason::Class => "matches another class",
+            SkipReason::Tenant => "matches another tenant",
+            SkipReason::Access => "matches the other access mode",
+            SkipReason::Prefix => "matches another key prefix",
         };
         write!(f, "{}: {reason}", self.name)
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which route takes a request of this class, tenant and key, and why not those before it.
+/// Finds the route that matches a request, and why the routes with higher precedence do not.
 pub fn select_route<'p>(policy: &'p Policy, request: &Request) -> SelectedRoute<'p> {
     let index = policy.route_index(request);
     let skipped = policy.routes[..index]
@@ -75,35 +75,35 @@
     SelectedRoute { route: &policy.routes[index], skipped }
 }
 
-/// One step of a worst case.
+/// One step of a worst-case timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimelineStep {
-    /// When, from the request's arrival.
+    /// Time since the arrival of the request.
     pub at: Micros,
-    /// What happens.
+    /// Event at that time.
     pub event: TimelineEvent,
 }
 
-/// What happens in a worst case.
+/// An event in a worst-case timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TimelineEvent {
-    /// An attempt begins.
+    /// An attempt starts.
     Attempt {
-        /// Its number, from 1.
+        /// Number of the attempt, starting at 1.
         number: u32,
-        /// When it is given up.
+        /// Time since the arrival of the request at which the attempt times out.
         timeout_at: Micros,
     },
-    /// A hedged request may be sent.
+    /// A hedged request may be sent while the first attempt is in flight.
     Hedge {
-        /// After this quantile of the route's latency.
+        /// Quantile of the route's latency after which it is sent.
         quantile: f64,
-        /// For at most this ratio of its requests.
+        /// Maximum share of the route's requests that are hedged.
         ratio: f64,
     },
-    /// No retry is sent, as the attempt before may have run.
+    /// No retry is sent because the previous attempt may have run.
     NoRetry,
-    /// The final answer is there at the latest.
+    /// The latest time at which the client gets its final answer.
     FinalAnswer,
 }
 
@@ -111,22 +111,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             TimelineEvent::Attempt { number, timeout_at } => {
-                let condition = if *number == 1 { "" } else { ", if the budget allows it" };
-                format!("attempt {number}, given up at {}{condition}", format_duration(*timeout_at))
+                let condition = if *number == 1 { "" } else { " (if the retry budget allows it)" };
+                format!("attempt {number}, times out at {}{condition}", format_duration(*timeout_at))
             }
             TimelineEvent::Hedge { quantile, ratio } => format!(
-                "a second copy once it takes longer than {:.1}% of this route's requests, for {:.0}% at most",
+                "hedged request once the attempt is slower than {:.1}% of this route's requests; at most {:.0}% of \
+                 requests are hedged",
                 quantile * 100.0,
                 ratio * 100.0
             ),
-            TimelineEvent::NoRetry => "no repeat: the attempt before may have run".to_owned(),
+            TimelineEvent::NoRetry => "no retry: the previous attempt may have run".to_owned(),
             TimelineEvent::FinalAnswer => "final answer at the latest".to_owned(),
         };
         f.write_str(&text)
     }
 }
 
-/// The timetable of a request's worst case: every attempt times out, every wait is the longest.
+/// Returns the worst-case timeline of a request: every attempt times out and every backoff delay is the maximum.
+/// `class` is an index into the settings, and `client_timeout` is how long the client waits.
 pub fn worst_case_timeline(
     route: &Route,
     context: &PolicyContext,
@@ -136,7 +138,7 @@
     let limits = &route.limits;
     let route_total = limits.total_timeout.unwrap_or(client_timeout);
     let total = route_total.min(client_timeout);
-    // A client that waits less than the route's time has its attempts and waits shortened in proportion.
+    // If the client waits less than the route's total timeout, attempt timeouts and backoff shrink in proportion.
     let time_scale = (client_timeout as f64 / route_total.max(1) as f64).min(1.0);
     let scale = |t: Micros| (t as f64 * time_scale) as Micros;
     let classes = &context.settings.classes;
@@ -169,13 +171,14 @@
     steps
 }
 
-/// The limits of a route in words, one a line.
+/// Describes the limits of a route, one per line.
 pub fn describe_limits(route: &Route, policy: &Policy) -> Vec<String> {
     let limits = &route.limits;
     let mut lines = Vec::new();
     if let Some(budget) = limits.retry_budget.and_then(|index| policy.retry_budgets.get(index)) {
         lines.push(format!(
-            "repeats from budget '{}': {} for each request and {} a second, {:.0}% of it left to others",
+            "retry budget '{}': {} tokens per request plus {} per second; {:.0}% of its capacity is reserved for other \
+             routes",
             budget.name,
             budget.config.tokens_per_request,
             budget.config.tokens_per_s,
@@ -183,16 +186,16 @@
         ));
     }
     match limits.concurrency {
-        Some(ConcurrencyLimit::Fixed(max)) => lines.push(format!("at most {max} in flight")),
+        Some(ConcurrencyLimit::Fixed(max)) => lines.push(format!("at most {max} requests in flight")),
         Some(ConcurrencyLimit::Adaptive(bounds)) => {
-            lines.push(format!("{} to {} in flight, by latency", bounds.min, bounds.max));
+            lines.push(format!("{} to {} requests in flight, depending on latency", bounds.min, bounds.max));
         }
         None => {}
     }
     if let Some(breaker) = limits.circuit_breaker {
         lines.push(format!(
-            "a server is left alone for {} once {:.0}% of {} or more attempts within {} fail, and comes back after {} \
-             good trials",
+            "circuit breaker: opens for at least {} when {:.0}% of at least {} attempts within {} fail; closes after {} \
+             successful probes in a row",
             format_duration(breaker.open_duration),
             breaker.failure_ratio * 100.0,
             breaker.min_attempts,
@@ -202,10 +205,12 @@
     }
     if let Some(capacity) = policy.max_in_flight {
         let usable = f64::from(capacity) * (1.0 - limits.reserved_capacity);
-        lines.push(format!("refused while more than {usable:.0} are in flight in all"));
+        lines.push(format!(
+            "rejected if more than {usable:.0} requests of all routes would be in flight on this proxy"
+        ));
     }
     if let Some(retry_after) = limits.retry_after {
-        lines.push(format!("refusals say: come back in {}", format_duration(retry_after)));
+        lines.push(format!("Retry-After of rejections: {}", format_duration(retry_after)));
     }
     lines
 }
--- a/limits/src/latency_quantile.rs
+++ b/limits/src/latency_quantile.rs
@@ -1,22 +1,22 @@
-//! A quantile of a route's latest latencies.
+//! Estimates a quantile of a route's recent latencies.
 
 use hdrhistogram::Histogram;
 use notchdoor::Micros;
 
-/// Samples after which the older half is forgotten.
+/// Samples in the newer histogram after which it replaces the older one.
 const MAX_SAMPLES_PER_HISTOGRAM: u64 = 1_000;
-/// Samples from which a quantile is believed.
+/// Samples required before the first estimate.
 const MIN_SAMPLES: u64 = 50;
-/// The newer half alone is asked once it has so many samples.
+/// Samples from which the estimate uses the newer histogram instead of the older one.
 const MIN_SAMPLES_IN_NEWER: u64 = MAX_SAMPLES_PER_HISTOGRAM / 4;
-/// The quantile is worked out again after so many samples.
+/// Samples between two estimates.
 const SAMPLES_PER_ESTIMATE: u64 = 32;
-/// An hour: what takes longer counts as that.
+/// One hour. Longer latencies are recorded as this value.
 const MAX_LATENCY: Micros = 3_600_000_000;
-/// Significant digits of a recorded latency.
+/// Precision of a recorded latency, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Latencies in two halves, of which the older is replaced.
+/// A quantile estimate over two histograms; when the newer one is full, it replaces the older one.
 #[derive(Clone, Debug)]
 pub struct LatencyQuantile {
     newer: Histogram<u32>,
@@ -27,7 +27,7 @@
 }
 
 impl LatencyQuantile {
-    /// Nothing seen yet; `quantile` is from 0 to 1.
+    /// Creates an estimator without samples. `quantile` is between 0 and 1.
     pub fn new(quantile: f64) -> Self {
         let histogram =
             || Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS).expect("bounds are in order");
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Estimates another quantile from the next sample on.
+    /// Changes the quantile. The next sample updates the estimate.
     pub fn reconfigure(&mut self, quantile: f64) {
         self.quantile = quantile;
         self.samples_since_estimate = SAMPLES_PER_ESTIMATE;
     }
 
-    /// One more latency.
+    /// Records a latency.
     pub fn record(&mut self, latency: Micros) {
         if self.newer.len() >= MAX_SAMPLES_PER_HISTOGRAM {
             std::mem::swap(&mut self.newer, &mut self.older);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The quantile, once enough was seen.
+    /// Latest estimate of the quantile, or `None` until enough samples are recorded.
     pub fn estimate(&self) -> Option<Micros> {
         self.estimate
     }
--- a/limits/src/layer/admission.rs
+++ b/limits/src/layer/admission.rs
@@ -1,4 +1,4 @@
-//! Requests as they come and go: rejected at once, or held until their last attempt has ended.
+//! Admission of requests: each is rejected on arrival or tracked until its last attempt has ended.
 
 use super::request::{AttemptState, InFlightRequest};
 use super::route::ActiveRoute;
@@ -8,7 +8,7 @@
 use notchdoor::{Action, Decide, Effect, Event, Micros, Outcome, Request, RequestId};
 use std::rc::Rc;
 
-/// The retry-after of a rejection before the route knows how long its requests take.
+/// Retry-After of a rejection while the route has no latency estimate.
 const DEFAULT_RETRY_AFTER: Micros = 100_000;
 
 impl<D: Decide> LimitsLayer<D> {
@@ -32,7 +32,7 @@
         self.forward_to_router(now, Event::Arrived(request), actions);
     }
 
-    /// A request brings tokens to its route's budgets, also one that is rejected.
+    /// Adds the tokens for one request to its route's budgets. Rejected requests count too.
     fn deposit_tokens(&self, now: Micros, route: &ActiveRoute) {
         if let Some(budget) = route.limits.retry_budget.and_then(|index| self.retry_budgets.get(index)) {
             budget.bucket.borrow_mut().deposit(now);
@@ -40,7 +40,8 @@
         route.state.borrow_mut().hedge_budget.deposit(now);
     }
 
-    /// Whether one more request would go over the limit of its route, or of the proxy as far as the route may use it.
+    /// Whether one more request would exceed the route's concurrency limit or the share of the proxy's limit that the
+    /// route may use.
     fn at_capacity(&self, route: &ActiveRoute) -> bool {
         let state = route.state.borrow();
         let capacity = self.policy.max_in_flight.map_or(f64::INFINITY, f64::from);
@@ -48,15 +49,15 @@
         state.in_flight >= state.max_in_flight(&route.limits) || f64::from(self.in_flight) + 1.0 > usable
     }
 
-    /// Nothing was sent, so a rejection is true whatever the class. Room comes back as soon as one of the requests in
-    /// flight is done.
+    /// Rejects a request for which no attempt was sent. Without a configured Retry-After, the client should return after
+    /// the route's latency quantile, when requests now in flight are likely to have finished.
     fn rejection(&self, id: RequestId, route: &ActiveRoute) -> Action {
         let typical_latency = route.state.borrow().latency.estimate();
         let retry_after = route.limits.retry_after.or(typical_latency).unwrap_or(DEFAULT_RETRY_AFTER);
         Action::Reject { id, retry_after: retry_after.min(self.settings.max_retry_after) }
     }
 
-    /// The record of a request that is let in, whose deadline is cut to its route's.
+    /// Creates the record of an admitted request and shortens its deadline to the route's total timeout.
     fn track(&self, now: Micros, request: &mut Request, route: Rc<ActiveRoute>) -> InFlightRequest {
         let class = request.class.and_then(|class| self.settings.classes.get(class as usize));
         let time_left = request.deadline.saturating_sub(now);
@@ -84,8 +85,8 @@
         }
     }
 
-    /// The request has its final answer, or its client has left: it gives its room back, and what was delayed is never
-    /// sent.
+    /// Marks a request as finished after its final answer or when its client has left. Releases its concurrency slot and
+    /// drops delayed attempts.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
         request.finished = true;
@@ -100,7 +101,7 @@
         self.remove_if_done(id);
     }
 
-    /// Forgets a request of which nothing is left to happen.
+    /// Removes a finished request that has neither attempts in flight nor unreported ends.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
         let unsent = self.unsent.iter().any(|unsent| unsent.id == id);
         if !unsent && self.requests.get(&id).is_some_and(InFlightRequest::is_done) {
@@ -109,7 +110,7 @@
     }
 }
 
-/// After how long a request is hedged, if it may be and there is time for it.
+/// Delay after which a request may be hedged, or `None` if hedging is not allowed or would start after the deadline.
 fn hedge_delay(now: Micros, request: &InFlightRequest) -> Option<Micros> {
     let hedged = matches!(request.route.limits.hedging, Hedging::AfterQuantile { .. });
     if !hedged || request.write || request.effect != Effect::Idempotent {
--- a/limits/src/layer/attempts.rs
+++ b/limits/src/layer/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: withheld, delayed or sent, and what their ends say of servers and budgets.
+//! Handling of attempts: sends, delays or withholds them, and records their results in circuit breakers and latency
+//! estimates.
 
 use super::metrics::WithholdReason;
 use super::request::{Attempt, AttemptState, InFlightRequest};
@@ -8,15 +9,15 @@
 use notchdoor::{Action, Decide, Event, Micros, Outcome, RequestId, ServerId};
 use rand::RngExt;
 
-/// At most this share of the servers has an open breaker at a route. A file that would leave alone all warm servers
-/// would push the load of all onto a cold one, or the origin (rule 4).
+/// Maximum share of the serving servers whose breakers may be open at one route, so that the load of the excluded
+/// servers does not overload cold backends or the origin.
 const MAX_OPEN_BREAKER_SHARE: f64 = 0.4;
-/// Breakers that opened together send their probes one proxy after another, so far apart.
+/// Average time between the probes of different proxies whose breakers opened together.
 const PROBE_SPACING: Micros = 40_000;
-/// A time-out says nothing of a server that had less than this share of the route's own.
+/// A timeout is not counted against a server that had less than this share of the route's attempt timeout to answer.
 const MIN_ELAPSED_TIMEOUT_SHARE: f64 = 0.5;
 
-/// An attempt as the router asks for it.
+/// An attempt that the router wants to send; the fields are those of [`Action::Send`].
 pub(super) struct RequestedAttempt {
     pub(super) id: RequestId,
     pub(super) server: ServerId,
@@ -24,7 +25,7 @@
     pub(super) begin_by: Micros,
 }
 
-/// How an attempt ended, by its number outside.
+/// The end of an attempt. `number` counts only attempts that were sent, as the host does.
 pub(super) struct AttemptEnd {
     pub(super) id: RequestId,
     pub(super) number: u32,
@@ -34,7 +35,7 @@
 }
 
 impl AttemptEnd {
-    /// The event by which the router, that counts attempts as `index`, is told.
+    /// The event for the router, which numbers the attempt as `index`.
     fn event(&self, index: u32) -> Event<'static> {
         Event::AttemptEnded {
             id: self.id,
@@ -47,7 +48,7 @@
 }
 
 impl<D: Decide> LimitsLayer<D> {
-    /// Sends an attempt that the router wants, delays it, or withholds it.
+    /// Sends, delays or withholds an attempt that the router wants to send.
     pub(super) fn handle_send(
         &mut self,
         now: Micros,
@@ -56,12 +57,12 @@
     ) {
         let RequestedAttempt { id, server, give_up_at, begin_by } = requested;
         if !self.requests.contains_key(&id) {
-            // Nothing that this layer knows of: it has no say in it.
+            // The layer does not track this request, so its limits do not apply.
             return actions.push(Action::Send { id, server, give_up_at, begin_by });
         }
         let admitted = self.admit_attempt(now, id, server);
         let delay = if admitted.is_ok() { self.backoff_delay(id) } else { 0 };
-        let request = self.requests.get_mut(&id).expect("looked up above");
+        let request = self.requests.get_mut(&id).expect("checked above");
         let index = request.attempts.len();
         request.attempts.push(Attempt {
             server,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Whether an attempt that the router wants may be sent, and whether it is a breaker's probe.
+    /// Checks an attempt against the request's limits, the server's breaker and the retry budget. Takes a token if the
+    /// attempt is a retry.
     fn admit_attempt(
         &mut self,
         now: Micros,
@@ -103,7 +105,7 @@
         if admission == Admission::Rejected {
             return Err(WithholdReason::CircuitOpen);
         }
-        // A hedged request has been paid for out of its own budget.
+        // Hedged requests have already taken a token from the hedging budget.
         if request.last_attempt_failed && !request.is_hedge() {
             let budget = limits.retry_budget.and_then(|index| self.retry_budgets.get(index));
             let granted =
@@ -118,7 +120,8 @@
         Ok(admission)
     }
 
-    /// How long the next attempt of a request is delayed: only retries wait, never a fetch for a miss.
+    /// Backoff delay of the next attempt. Only retries after a failure are delayed, not hedged requests or fetches after
+    /// a cache miss.
     fn backoff_delay(&mut self, id: RequestId) -> Micros {
         let request = &self.requests[&id];
         let backoff = request.route.limits.backoff;
@@ -129,7 +132,7 @@
         (max_delay * (1.0 - backoff.jitter * self.rng.random::<f64>())) as Micros
     }
 
-    /// The router will be told that this attempt was never sent.
+    /// Drops an attempt and queues the report to the router that it was not sent.
     fn withhold(&mut self, id: RequestId, index: usize, reason: WithholdReason) {
         self.metrics.count(reason);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -139,14 +142,14 @@
     }
 
     fn dispatch(&mut self, now: Micros, id: RequestId, index: usize, actions: &mut Vec<Action>) {
-        let request = self.requests.get_mut(&id).expect("its callers hold it");
+        let request = self.requests.get_mut(&id).expect("callers pass a tracked request");
         let give_up_at = request.dispatch(index, now);
         self.attempts_in_flight += 1;
         let Attempt { server, begin_by, .. } = request.attempts[index];
         actions.push(Action::Send { id, server, give_up_at, begin_by });
     }
 
-    /// The router cancels an attempt.
+    /// Cancels an attempt by its index in the router.
     pub(super) fn handle_cancel(&mut self, id: RequestId, index: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(index as usize) else { return };
@@ -160,7 +163,7 @@
         }
     }
 
-    /// An attempt that was sent has ended.
+    /// Records the end of an attempt and passes it to the router.
     pub(super) fn on_attempt_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let open_jitter = self.open_jitter();
         let Some(request) = self.requests.get_mut(&end.id) else {
@@ -190,7 +193,7 @@
         self.forward_to_router(now, end.event(index as u32), actions);
     }
 
-    /// By how much longer this proxy's breakers stay open than the next one's.
+    /// Random extra time that a breaker stays open, up to `PROBE_SPACING` for each proxy of the fleet.
     fn open_jitter(&mut self) -> Micros {
         let max_jitter = u64::from(self.settings.proxies) * PROBE_SPACING;
         (self.rng.random::<f64>() * max_jitter as f64) as Micros
@@ -207,7 +210,7 @@
         }
     }
 
-    /// A request is still open after its route's quantile: the router may send a hedged request if it is paid for.
+    /// Lets the router hedge a request that is still open after the hedge delay, if the hedging budget has a token.
     fn grant_hedge(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.may_hedge()) else { return };
         request.hedge_granted = request.route.state.borrow_mut().hedge_budget.try_acquire(now, 0.0);
@@ -217,7 +220,8 @@
         }
     }
 
-    /// A retry's backoff is over. What was true when it was delayed may not be now.
+    /// Sends a delayed retry after its backoff, unless its server has stopped serving, the deduplication window has
+    /// passed or the deadline has been reached.
     fn end_backoff(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let delayed = |attempt: &Attempt| attempt.state == AttemptState::Delayed;
@@ -231,7 +235,7 @@
     }
 }
 
-/// What an attempt's end says of its server.
+/// Records the result of an attempt in the breaker of its server.
 fn record_in_breaker(
     request: &InFlightRequest,
     index: usize,
@@ -258,8 +262,8 @@
     breaker.record(now, result, may_open.then_some(open_jitter));
 }
 
-/// Whether an outcome is no sign of how a server does. A client that left next to no time is one such case: what was
-/// not waited for did not fail.
+/// Whether an outcome says nothing about the health of a server, such as a cancellation or a timeout that a short
+/// client deadline cut far below the route's attempt timeout.
 fn is_inconclusive(request: &InFlightRequest, outcome: Outcome, elapsed: Micros) -> bool {
     let timeout = request.route.limits.attempt_timeout;
     let cut_short = outcome == Outcome::Timeout
--- a/limits/src/layer/endpoints.rs
+++ b/limits/src/layer/endpoints.rs
@@ -1,9 +1,9 @@
-//! The servers of the endpoint list, as far as the layer needs them.
+//! Tracks which servers of the endpoint list serve new requests and when they started.
 
 use notchdoor::{Endpoint, Micros, ServerId, ServerState};
 use rustc_hash::FxHashMap;
 
-/// Servers that are gone are forgotten once they are half of all and so many more.
+/// Servers that no longer serve are removed once they exceed half of the known servers by this number.
 const GONE_ENDPOINT_MARGIN: usize = 64;
 
 struct KnownEndpoint {
@@ -11,35 +11,35 @@
     started_at: Micros,
 }
 
-/// Every server that was listed lately.
+/// Known servers, including recently listed ones that no longer serve.
 #[derive(Default)]
 pub(super) struct Endpoints {
     known: FxHashMap<ServerId, KnownEndpoint>,
-    /// How many of them take what is new.
+    /// Number of servers that accept new requests.
     serving: usize,
 }
 
-/// What a list says that circuit breakers have to know.
+/// Changes by an endpoint list or update that affect circuit breakers.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// Servers that have started anew.
+    /// Servers whose start time changed.
     pub(super) restarted: Vec<ServerId>,
-    /// Servers that are forgotten.
+    /// Servers that are no longer tracked.
     pub(super) removed: Vec<ServerId>,
 }
 
 impl Endpoints {
-    /// How many servers take new requests.
+    /// Number of servers that accept new requests.
     pub(super) fn serving(&self) -> usize {
         self.serving
     }
 
-    /// Whether a server takes new requests.
+    /// Whether a server accepts new requests.
     pub(super) fn is_serving(&self, server: ServerId) -> bool {
         self.known.get(&server).is_some_and(|endpoint| endpoint.serving)
     }
 
-    /// A whole list or a change of it.
+    /// Applies an endpoint list (`is_full_list`) or an endpoint update.
     pub(super) fn update(&mut self, endpoints: &[Endpoint], is_full_list: bool) -> EndpointChanges {
         if is_full_list {
             self.known.values_mut().for_each(|endpoint| endpoint.serving = false);
@@ -54,7 +54,7 @@
             }
         }
         self.serving = self.known.values().filter(|endpoint| endpoint.serving).count();
-        // Without this the map would keep every server that there ever was.
+        // Bounds the size of the map while servers are replaced.
         let not_serving: Vec<ServerId> =
             self.known.iter().filter(|(_, endpoint)| !endpoint.serving).map(|(server, _)| *server).collect();
         if not_serving.len() > self.known.len() / 2 + GONE_ENDPOINT_MARGIN {
--- a/limits/src/layer/metrics.rs
+++ b/limits/src/layer/metrics.rs
@@ -1,25 +1,25 @@
-//! Counts of what the layer has done.
+//! Counters of the limits layer.
 
-/// What the layer has done, for counters and charts.
+/// Counters of rejected requests, of delayed and withheld attempts, and of hedged requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitsMetrics {
-    /// Requests rejected before anything was sent.
+    /// Requests rejected on arrival.
     pub requests_shed: u64,
-    /// Attempts withheld because a route's attempts were used up.
+    /// Attempts withheld because the request had reached its route's maximum number of attempts.
     pub attempts_exhausted: u64,
-    /// Attempts withheld because the retry or hedging budget was used up.
+    /// Attempts withheld because the retry or hedging budget was exhausted.
     pub budget_exhausted: u64,
     /// Attempts withheld because a circuit breaker was open.
     pub circuit_open: u64,
-    /// Attempts withheld because there was no time for them, or they must not be repeated.
+    /// Attempts withheld because too little time was left or the request must not be retried.
     pub futile_retries: u64,
     /// Retries delayed by a backoff.
     pub delayed_retries: u64,
-    /// Hedged requests granted.
+    /// Hedged requests that the router was allowed to send.
     pub hedges: u64,
 }
 
-/// Why an attempt that the router wants is never sent.
+/// Why an attempt was withheld.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WithholdReason {
     AttemptsExhausted,
--- a/limits/src/layer/mod.rs
+++ b/limits/src/layer/mod.rs
@@ -1,9 +1,9 @@
-//! The layer itself: limits round whatever decides within.
+//! The limits layer, which wraps a router and enforces a [`Policy`].
 //!
-//! The layer never chooses a server and never answers for what has been sent. It rejects requests before anything was
-//! sent for them, cuts time-outs short, and withholds attempts: the router within is told that such an attempt was
-//! never sent, and goes on from there. An attempt that a backoff delays counts as in flight within, so that no final
-//! answer crosses it.
+//! The layer never chooses a server and never produces the final answer of a request after an attempt was sent. It
+//! rejects requests before their first attempt, shortens timeouts, and delays or withholds attempts. A withheld attempt
+//! is reported to the router as [`Outcome::NotSent`]. An attempt delayed by backoff counts as in flight in the router,
+//! so that the router does not finish the request while the attempt is pending.
 
 mod admission;
 mod attempts;
@@ -31,20 +31,20 @@
 use std::sync::Arc;
 use timer_token::{TimerToken, LAYER_BIT};
 
-/// A retry budget in force, shared by routes.
+/// The token bucket of a retry budget, kept across reloads by name.
 struct SharedBudget {
     name: String,
     bucket: Rc<RefCell<TokenBucket>>,
 }
 
-/// An attempt that was never sent; the router is still to be told so.
+/// An attempt that was not sent and whose end has yet to be reported to the router.
 struct UnsentAttempt {
     id: RequestId,
     attempt: u32,
     outcome: Outcome,
 }
 
-/// Limits round the decisions.
+/// Enforces a policy on the actions of an inner router.
 pub struct LimitsLayer<D> {
     inner: D,
     settings: Settings,
@@ -57,13 +57,14 @@
     attempts_in_flight: u64,
     endpoints: Endpoints,
     unsent: VecDeque<UnsentAttempt>,
-    /// Actions of the router within; kept for its memory.
+    /// Buffer for the router's actions, reused to avoid allocations.
     inner_actions: Vec<Action>,
     metrics: LimitsMetrics,
 }
 
 impl<D: Decide> LimitsLayer<D> {
-    /// A layer round `inner`, which was given the settings that [`crate::stack::router_settings`] makes.
+    /// Wraps `inner`, which must have been created with the result of [`crate::stack::router_settings`]. `settings` are
+    /// the deployment's own.
     pub fn new(inner: D, settings: Settings, policy: Arc<Policy>, seed: u64, now: Micros) -> Self {
         let mut layer = LimitsLayer {
             inner,
@@ -71,7 +72,7 @@
             policy: Arc::default(),
             routes: Vec::new(),
             retry_budgets: Vec::new(),
-            // Apart from the router's own random numbers, which come from the same seed.
+            // The router uses the same seed, so the layer derives another one from it.
             rng: ChaCha8Rng::seed_from_u64(seed ^ LAYER_BIT),
             requests: FxHashMap::default(),
             in_flight: 0,
@@ -85,8 +86,8 @@
         layer
     }
 
-    /// Takes up another policy from the next request on. Routes and budgets of the same name keep their state;
-    /// requests that are open keep the limits they began with.
+    /// Replaces the policy for new requests. Routes and budgets keep their state by name; open requests keep the limits
+    /// that they started with.
     pub fn reload(&mut self, policy: Arc<Policy>, now: Micros) {
         let old_budgets = std::mem::take(&mut self.retry_budgets);
         for budget in &policy.retry_budgets {
@@ -107,44 +108,45 @@
         self.policy = policy;
     }
 
-    /// The router within.
+    /// The inner router.
     pub fn inner(&self) -> &D {
         &self.inner
     }
 
-    /// The router within, to be changed by its own means.
+    /// Mutable access to the inner router.
     pub fn inner_mut(&mut self) -> &mut D {
         &mut self.inner
     }
 
-    /// What the layer has done so far.
+    /// Counters since the layer was created.
     pub fn metrics(&self) -> LimitsMetrics {
         self.metrics
     }
 
-    /// Times that circuit breakers opened, over all routes.
+    /// Number of times that the current circuit breakers of all routes have opened.
     pub fn breaker_openings(&self) -> u64 {
         self.routes.iter().map(|route| route.breaker_openings()).sum()
     }
 
-    /// Requests held, open or with attempts in flight, and attempts in flight, as the host counts them.
+    /// Number of tracked requests (open or with attempts in flight) and of attempts in flight.
     pub fn load(&self) -> (usize, u64) {
         (self.requests.len(), self.attempts_in_flight)
     }
 
-    /// What is kept though no request is open.
+    /// Describes remaining state, or `None` if there is none. Remaining state is a leak if no request is open.
     pub fn leaked_state(&self) -> Option<String> {
         let route_in_flight: u32 = self.routes.iter().map(|route| route.state.borrow().in_flight).sum();
         let (requests, in_flight, attempts) = (self.requests.len(), self.in_flight, self.attempts_in_flight);
         let idle = requests == 0 && in_flight == 0 && attempts == 0 && route_in_flight == 0;
         (!idle).then(|| {
             format!(
-                "limits: {requests} held, {in_flight} in flight, {route_in_flight} by route, {attempts} out"
+                "limits: {requests} requests tracked, {in_flight} in flight, {route_in_flight} in flight by route, \
+                 {attempts} attempts in flight"
             )
         })
     }
 
-    /// Hands an event to the router within, and carries out what comes back.
+    /// Passes an event to the router and applies the resulting actions.
     fn forward_to_router(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let mut inner_actions = std::mem::take(&mut self.inner_actions);
         self.inner.handle(now, event, &mut inner_actions);
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Tells the router of the attempts that were never sent.
+    /// Reports the attempts that were not sent to the router.
     fn report_unsent(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(UnsentAttempt { id, attempt, outcome }) = self.unsent.pop_front() {
             let last = self.requests.get(&id).is_none_or(|request| request.finished);
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Takes up the endpoint list. What was learnt of a server's old process is void once it has started anew.
+    /// Applies an endpoint list or update. Resets the breakers of restarted servers and drops those of removed ones.
     fn on_endpoints(&mut self, endpoints: &[Endpoint], is_full_list: bool) {
         let update = self.endpoints.update(endpoints, is_full_list);
         for route in &self.routes {
--- a/limits/src/layer/request.rs
+++ b/limits/src/layer/request.rs
@@ -1,4 +1,4 @@
-//! A request that the layer holds, with its attempts.
+//! State of a tracked request and its attempts.
 
 use super::metrics::WithholdReason;
 use super::route::ActiveRoute;
@@ -6,31 +6,31 @@
 use notchdoor::{Effect, Micros, ServerId};
 use std::rc::Rc;
 
-/// A retry is not begun with less than this share of an attempt's time left: it could not end.
+/// A retry is withheld if less than this share of the attempt timeout is left before the deadline.
 const MIN_RETRY_TIME_SHARE: f64 = 0.25;
-/// An attempt is given this long at the least, however little time its client has.
+/// Lower bound of an attempt timeout that was shortened for a client with little time left.
 const MIN_ATTEMPT_TIMEOUT_US: f64 = 1_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// A backoff delays it; the router takes it for sent.
+    /// Delayed by backoff; the router counts it as sent.
     Delayed,
-    /// It is out.
+    /// Sent and not yet ended.
     InFlight,
-    /// It has ended, or was never sent.
+    /// Ended, cancelled or withheld.
     Finished,
 }
 
-/// One attempt that the router has asked for; its place among the request's attempts is the router's number of it.
+/// An attempt that the router wants to send. Its index in [`InFlightRequest::attempts`] is the router's attempt number.
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) give_up_at: Micros,
     pub(super) begin_by: Micros,
-    /// Its number outside, once it was sent.
+    /// The host's attempt number, which counts only attempts that were sent. `None` until the attempt is sent.
     pub(super) number: Option<u32>,
     pub(super) state: AttemptState,
     pub(super) sent_at: Micros,
-    /// Whether it is the probe of a half-open breaker.
+    /// Whether the attempt is the probe of a half-open breaker.
     pub(super) probe: bool,
 }
 
@@ -40,30 +40,31 @@
     pub(super) write: bool,
     pub(super) arrived_at: Micros,
     pub(super) deadline: Micros,
-    /// How much shorter its time is than its route's: its waits and time-outs shrink as much.
+    /// Time until the client's deadline divided by the route's total timeout, at most 1. Scales attempt timeouts and
+    /// backoff.
     pub(super) time_scale: f64,
     pub(super) attempts: Vec<Attempt>,
-    /// Attempts sent outside.
+    /// Attempts that were sent.
     pub(super) attempts_sent: u32,
-    /// Attempts in flight outside.
+    /// Attempts that were sent and have not ended.
     pub(super) attempts_in_flight: u32,
-    /// It has its final answer, or its client has left.
+    /// Whether the final answer was given or the client has left.
     pub(super) finished: bool,
-    /// Whether the latest attempt failed.
+    /// Whether the most recently ended attempt failed; reset when another one is sent.
     pub(super) last_attempt_failed: bool,
-    /// When the first attempt that may have run was sent.
+    /// Send time of the first ended attempt that may have run on a server.
     pub(super) may_have_run_since: Option<Micros>,
-    /// Its hedged request has been paid for.
+    /// Whether a hedged request has taken its token.
     pub(super) hedge_granted: bool,
 }
 
 impl InFlightRequest {
-    /// Whether the next attempt would run beside another one.
+    /// Whether the next attempt would be a hedged request, because another attempt is in flight.
     pub(super) fn is_hedge(&self) -> bool {
         self.attempts_in_flight > 0
     }
 
-    /// Whether the route's limits, apart from breakers and budgets, allow one more attempt now.
+    /// Checks whether the route's limits, apart from breakers and retry budgets, allow another attempt now.
     pub(super) fn check_attempt(&self, now: Micros) -> Result<(), WithholdReason> {
         let limits = &self.route.limits;
         if limits.max_attempts.is_some_and(|max| self.attempts_sent >= max) {
@@ -83,7 +84,7 @@
         Ok(())
     }
 
-    /// Notes that an attempt goes out now, and until when it is waited for.
+    /// Marks an attempt as sent and returns the time at which it times out.
     pub(super) fn dispatch(&mut self, index: usize, now: Micros) -> Micros {
         let time_scale = self.time_scale;
         let timeout = self.route.limits.attempt_timeout;
@@ -100,12 +101,12 @@
         timeout.map_or(router_limit, |timeout| router_limit.min(now.saturating_add(timeout)))
     }
 
-    /// The place of an attempt by its number outside.
+    /// Index of an attempt by the host's attempt number.
     pub(super) fn index_of(&self, number: u32) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.number == Some(number))
     }
 
-    /// Whether a server would still know a retry for one, or none has run yet.
+    /// Whether a retry is still safe: no attempt may have run, or the class's effect allows a repetition now.
     pub(super) fn within_dedup_window(&self, now: Micros) -> bool {
         match (self.effect, self.may_have_run_since) {
             (Effect::Deduplicated { window, .. }, Some(since)) => now < since.saturating_add(window),
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Whether a hedged request may be sent beside its one attempt.
+    /// Whether the request's only attempt may be hedged.
     pub(super) fn may_hedge(&self) -> bool {
         let only_attempt = self.attempts_in_flight == 1 && self.attempts.len() == 1;
         only_attempt && !self.write && self.effect == Effect::Idempotent && !self.hedge_granted
     }
 
-    /// An attempt that was delayed is never sent after all.
+    /// Marks an attempt that was not sent as finished, and releases its breaker's probe.
     pub(super) fn abandon_attempt(&mut self, index: usize) {
         let attempt = &mut self.attempts[index];
         attempt.state = AttemptState::Finished;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Everything is over: it may be forgotten.
+    /// Whether the request is finished and has no attempt in flight.
     pub(super) fn is_done(&self) -> bool {
         self.finished && self.attempts_in_flight == 0
     }
--- a/limits/src/layer/route.rs
+++ b/limits/src/layer/route.rs
@@ -1,4 +1,4 @@
-//! A route in force: its limits, and the state that its requests share.
+//! An active route: its limits and the state that its requests share.
 
 use crate::circuit_breaker::CircuitBreaker;
 use crate::concurrency_limiter::ConcurrencyLimiter;
@@ -10,10 +10,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The quantile of a route without hedging; it says when room comes back after a rejection.
+/// Latency quantile tracked for a route without hedging; used for the Retry-After of rejections.
 const DEFAULT_LATENCY_QUANTILE: f64 = 0.95;
 
-/// What a route has learnt and has in flight; kept over reloads.
+/// State of a route, kept across reloads.
 pub(super) struct RouteState {
     pub(super) in_flight: u32,
     pub(super) limiter: Option<ConcurrencyLimiter>,
@@ -22,7 +22,7 @@
     pub(super) breakers: FxHashMap<ServerId, CircuitBreaker>,
 }
 
-/// A route as requests hold it: the limits they began with, and the state that all share.
+/// A route as referenced by its requests: the limits at the time of their arrival and the shared state.
 pub(super) struct ActiveRoute {
     pub(super) name: String,
     pub(super) limits: RouteLimits,
@@ -30,7 +30,7 @@
 }
 
 impl ActiveRoute {
-    /// A route with the state that one of the same name had before, if there was one.
+    /// Creates a route. `previous` is the state of the route of the same name before a reload.
     pub(super) fn new(route: &Route, previous: Option<Rc<RefCell<RouteState>>>, now: Micros) -> Self {
         let limits = route.limits.clone();
         let (quantile, ratio) = match limits.hedging {
@@ -51,7 +51,7 @@
         ActiveRoute { name: route.name.clone(), limits, state }
     }
 
-    /// The probe of a half-open breaker that was never sent does not keep the next one from being sent.
+    /// Allows another probe of a server after a probe that was not sent.
     pub(super) fn release_probe(&self, server: ServerId) {
         if let Some(breaker) = self.state.borrow_mut().breakers.get_mut(&server) {
             breaker.release_probe();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The most requests that may be in flight.
+    /// Current limit on the route's requests in flight.
     pub(super) fn max_in_flight(&self, limits: &RouteLimits) -> u32 {
         match limits.concurrency {
             None => u32::MAX,
@@ -93,7 +93,7 @@
         self.breakers.values().filter(|breaker| !breaker.is_closed()).count()
     }
 
-    /// A request was served after so many microseconds.
+    /// Records the latency of a successful request.
     pub(super) fn record_success(&mut self, latency: Micros) {
         self.latency.record(latency);
         if let Some(limiter) = &mut self.limiter {
--- a/limits/src/layer/timer_token.rs
+++ b/limits/src/layer/timer_token.rs
@@ -1,15 +1,15 @@
-//! Tokens of the layer's own timers, apart from those of the router within.
+//! Timer tokens of the layer, distinguishable from those of the inner router.
 
 use notchdoor::RequestId;
 
-/// Tokens of this layer have this bit; those from within never do.
+/// Set in tokens of this layer and never in those of the router.
 pub(super) const LAYER_BIT: u64 = 1 << 62;
 const HEDGE_BIT: u64 = 1;
 
-/// What a timer of the layer is for.
+/// Purpose of a timer of the layer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimerToken {
-    /// The backoff of a delayed retry is over.
+    /// The backoff of a delayed retry ends.
     Retry(RequestId),
     /// A hedged request is due.
     Hedge(RequestId),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The layer's token that a number is; `None` for one from within.
+    /// Decodes a token of the layer. Returns `None` for a token of the router.
     pub(super) fn decode(token: u64) -> Option<Self> {
         let id = (token & !LAYER_BIT) >> 1;
         match (token & LAYER_BIT != 0, token & HEDGE_BIT != 0) {
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,10 +1,10 @@
-//! Limits by route and class: time-outs, attempts, hedged requests, retry budgets, concurrency, circuit breakers and
-//! load shedding, from a checked file.
+//! Per-route and per-class limits, configured by a policy file: timeouts, attempts, hedged requests, retry budgets,
+//! concurrency limits, circuit breakers and load shedding.
 //!
-//! [`layer::LimitsLayer`] wraps the decisions ([`notchdoor::Decide`]): the same events in, the same actions out. It
-//! does no I/O. [`policy_file`] reads and checks what the operators write; [`policy`] is what it means; the mechanisms
-//! ([`token_bucket`], [`circuit_breaker`], [`concurrency_limiter`], [`latency_quantile`]) know nothing of requests or
-//! of one another.
+//! [`layer::LimitsLayer`] wraps any [`notchdoor::Decide`] implementation. It handles the same events, returns the same
+//! kinds of action and does no I/O. [`policy_file`] parses and validates the file into a [`policy::Policy`]. The
+//! mechanisms ([`token_bucket`], [`circuit_breaker`], [`concurrency_limiter`], [`latency_quantile`]) are independent of
+//! requests and of each other.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/limits/src/policy.rs
+++ b/limits/src/policy.rs
@@ -1,25 +1,25 @@
-//! What the operators' file means: routes and their limits.
+//! The typed policy: routes and their limits. Built by [`crate::policy_file`].
 
 use crate::circuit_breaker::CircuitBreakerConfig;
 use crate::concurrency_limiter::ConcurrencyBounds;
 use crate::token_bucket::TokenBucketConfig;
 use notchdoor::{Micros, Request};
 
-/// Which requests a route takes. What is not said matches all.
+/// Conditions that a request must meet to match a route. An unset condition matches every request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// The class, by its place in the settings.
+    /// Index of the class in the settings.
     pub class: Option<u32>,
-    /// The tenant, by its place in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: Option<u32>,
-    /// How the key begins.
+    /// Prefix of the key; empty matches every key.
     pub prefix: Vec<u8>,
-    /// Writes alone, or reads alone.
+    /// `Some(true)` matches only writes, `Some(false)` only reads.
     pub write: Option<bool>,
 }
 
 impl RouteMatch {
-    /// Whether a request is taken whose key begins so far as `prefix`, the longest that any route names.
+    /// Whether the request matches. `prefix` is the longest configured prefix of the request's key.
     pub fn matches(&self, request: &Request, prefix: &[u8]) -> bool {
         self.class.is_none_or(|c| request.class == Some(c))
             && self.tenant.is_none_or(|t| request.tenant == Some(t))
@@ -27,12 +27,13 @@
             && prefix.starts_with(&self.prefix)
     }
 
-    /// How specific it is: a longer prefix goes before a class, that before a tenant, that before read or write.
+    /// Sort key for route precedence: a longer prefix is the most significant, then a class, a tenant and an access
+    /// mode.
     pub fn specificity(&self) -> (usize, bool, bool, bool) {
         (self.prefix.len(), self.class.is_some(), self.tenant.is_some(), self.write.is_some())
     }
 
-    /// Whether everything that `other` takes is taken here.
+    /// Whether every request that matches `other` also matches this.
     pub fn covers(&self, other: &RouteMatch) -> bool {
         let covers_index = |a: Option<u32>, b: Option<u32>| a.is_none() || a == b;
         covers_index(self.class, other.class)
@@ -42,88 +43,89 @@
     }
 }
 
-/// A wait has reached any longest one after so many doublings.
+/// Limit on the exponent of the backoff. Any initial delay has reached its maximum by then.
 const MAX_DOUBLINGS: u32 = 31;
 
-/// Waits between attempts.
+/// Exponential backoff between attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
-    /// Before the first retry; it doubles with each.
+    /// Delay before the first retry. It doubles with each further retry.
     pub initial: Micros,
-    /// The longest.
+    /// Upper bound of the delay.
     pub max: Micros,
-    /// The share of a wait that is left to chance: a wait is from `(1 - jitter)` of it to the whole.
+    /// Random share of the delay, from 0 to 1. The actual delay is between `1 - jitter` times the delay and the full
+    /// delay.
     pub jitter: f64,
 }
 
 impl Backoff {
-    /// The longest wait before the `retry`-th retry, from 1.
+    /// Delay before retry number `retry`, starting at 1, before jitter reduces it.
     pub fn max_delay(&self, retry: u32) -> Micros {
         let doublings = retry.clamp(1, MAX_DOUBLINGS + 1) - 1;
         self.initial.saturating_mul(1 << doublings).min(self.max)
     }
 }
 
-/// Hedged requests: a second attempt of a read while the first is out.
+/// Whether a second attempt of a read may be sent while the first is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Hedging {
-    /// As the router does by itself.
+    /// Keep the router's own behaviour.
     RouterDefault,
-    /// None.
+    /// Send no hedged requests.
     Never,
-    /// After this quantile of the route's own latency, for at most this ratio of its requests.
+    /// Send a hedged request once the first attempt is slower than a quantile of the route's latency.
     AfterQuantile {
-        /// The quantile, from 0 to 1.
+        /// Latency quantile, from 0 to 1.
         quantile: f64,
-        /// The ratio, from 0 to 1.
+        /// Maximum share of the route's requests that are hedged, from 0 to 1.
         ratio: f64,
     },
 }
 
-/// What is retried after an attempt that may have run.
+/// Whether a request is retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryRule {
-    /// What the class allows.
+    /// Retry if the class's effect allows it.
     ByClass,
-    /// Nothing.
+    /// Do not retry.
     Never,
 }
 
-/// A limit on requests in flight.
+/// Limit on a route's requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConcurrencyLimit {
-    /// A fixed number.
+    /// Fixed limit.
     Fixed(u32),
-    /// Between bounds, by the gradient of the latency.
+    /// Limit that adapts to latency within bounds.
     Adaptive(ConcurrencyBounds),
 }
 
-/// The limits of a route.
+/// Limits of a route. A limit that is `None` leaves the router's own behaviour unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteLimits {
-    /// The longest that one attempt is waited for.
+    /// Timeout of one attempt.
     pub attempt_timeout: Option<Micros>,
-    /// The longest for the whole request.
+    /// Timeout of the whole request.
     pub total_timeout: Option<Micros>,
-    /// The most attempts; fetches and hedged requests are attempts.
+    /// Maximum number of attempts, including fetches from the origin and hedged requests.
     pub max_attempts: Option<u32>,
-    /// Waits before retries.
+    /// Delays before retries.
     pub backoff: Option<Backoff>,
-    /// Hedged requests.
+    /// Whether and when hedged requests are sent.
     pub hedging: Hedging,
-    /// What is retried.
+    /// Whether attempts that may have run are retried.
     pub retry: RetryRule,
-    /// The budget that retries come from, by its place among [`Policy::retry_budgets`].
+    /// Index in [`Policy::retry_budgets`] of the budget that retries are taken from.
     pub retry_budget: Option<usize>,
-    /// The share of that budget's capacity that this route leaves to others.
+    /// Share of that budget's capacity that this route leaves to other routes.
     pub budget_reserve: f64,
-    /// Requests in flight.
+    /// Limit on the route's requests in flight.
     pub concurrency: Option<ConcurrencyLimit>,
-    /// When a server gets no attempts for a while.
+    /// Settings of the circuit breakers, one for each server.
     pub circuit_breaker: Option<CircuitBreakerConfig>,
-    /// The share of [`Policy::max_in_flight`] that this route leaves to classes of a higher priority weight.
+    /// Share of [`Policy::max_in_flight`] that this route leaves to classes with a higher priority weight.
     pub reserved_capacity: f64,
-    /// The retry-after of a rejection.
+    /// Retry-After of rejections. If `None`, the layer or the router chooses one.
     pub retry_after: Option<Micros>,
 }
 
@@ -147,7 +149,7 @@
 }
 
 impl RouteLimits {
-    /// The longest that all attempts and the waits between them take.
+    /// Maximum duration of all attempts and the delays between them, or `None` without an attempt timeout.
     pub fn worst_case_duration(&self, default_max_attempts: u32) -> Option<Micros> {
         let attempts = self.max_attempts.unwrap_or(default_max_attempts);
         let waits: Micros = (1..attempts).map(|n| self.backoff.map_or(0, |b| b.max_delay(n))).sum();
@@ -155,43 +157,43 @@
     }
 }
 
-/// One route.
+/// A route: which requests it matches, and their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for messages and to keep its state over a reload.
+    /// Unique name. It appears in messages, and a route keeps its state across reloads under it.
     pub name: String,
-    /// Which requests it takes.
+    /// Requests that the route matches.
     pub matcher: RouteMatch,
-    /// Its limits.
+    /// Limits of these requests.
     pub limits: RouteLimits,
 }
 
-/// A retry budget that routes share.
+/// A retry budget shared by routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Its name; what it has saved up stays over a reload.
+    /// Unique name. A budget keeps its tokens across reloads under it.
     pub name: String,
-    /// What fills it.
+    /// Refill rates.
     pub config: TokenBucketConfig,
 }
 
-/// A whole file, checked.
+/// A complete, validated policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// The routes, most specific first; the last takes what no other does.
+    /// Routes, most specific first. The last one matches every request.
     pub routes: Vec<Route>,
-    /// The retry budgets.
+    /// Retry budgets; routes refer to them by index.
     pub retry_budgets: Vec<RetryBudget>,
-    /// Requests in flight at this proxy over all routes.
+    /// Limit on this proxy's requests in flight over all routes.
     pub max_in_flight: Option<u32>,
-    /// The share of the origin's window that each class may use, by its place in the settings.
+    /// Share of the origin's congestion window that each class may use, in the order of the settings' classes.
     pub window_shares: Vec<f64>,
-    /// The prefixes that routes name; a group's number is a place among them, from 1.
+    /// Distinct prefixes of all routes, sorted. Group number `n` stands for the prefix at index `n - 1`.
     prefixes: Vec<Vec<u8>>,
 }
 
 impl Policy {
-    /// A policy of these routes, most specific first; the last takes what no other does.
+    /// Creates a policy. `routes` must be sorted most specific first, and the last one must match every request.
     pub fn new(
         routes: Vec<Route>,
         retry_budgets: Vec<RetryBudget>,
@@ -205,8 +207,8 @@
         Policy { routes, retry_budgets, max_in_flight, window_shares, prefixes }
     }
 
-    /// The group of a key, for [`Request::group`]: the longest prefix that any route names and that it begins
-    /// with, as its place among all prefixes, from 1; 0 for none.
+    /// Returns the group number for [`Request::group`]: 1 plus the index of the longest configured prefix of the key,
+    /// or 0 if no prefix matches.
     pub fn group(&self, key: &[u8]) -> u32 {
         let is_prefix = |(_, prefix): &(usize, &Vec<u8>)| key.starts_with(prefix);
         let longest =
@@ -214,7 +216,7 @@
         longest.map_or(0, |(i, _)| i as u32 + 1)
     }
 
-    /// The route of a request: its place. The last one takes everything.
+    /// Index of the first route that matches the request, which is the most specific one.
     pub fn route_index(&self, request: &Request) -> usize {
         let prefix = match request.group.checked_sub(1) {
             Some(group) => self.prefixes.get(group as usize).map_or(&[][..], Vec::as_slice),
--- a/limits/src/policy_file/error.rs
+++ b/limits/src/policy_file/error.rs
@@ -1,25 +1,25 @@
-//! One error of a policy file, with its place.
+//! An error in a policy file, with its position.
 
-/// Something wrong with a policy file.
+/// An error in a policy file. It is displayed as `file:line:column: field: message`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {field}: {message}")]
 pub struct PolicyError {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The column, from 1.
+    /// Column number in characters, starting at 1.
     pub column: usize,
-    /// The field, as a path.
+    /// Path of the field, such as `route.reads.attempt`.
     pub field: String,
-    /// What is wrong, the rule that it breaks if it does, and a value that would do.
+    /// Description of the error, with the violated rule and a valid value where there is one.
     pub message: String,
-    /// The line's text.
+    /// Text of the line.
     pub source_line: String,
 }
 
 impl PolicyError {
-    /// The line of the file with a mark under the place.
+    /// Formats the line with a caret under the position, over several lines.
     pub fn snippet(&self) -> String {
         let number = self.line.to_string();
         let margin = " ".repeat(number.len());
--- a/limits/src/policy_file/mod.rs
+++ b/limits/src/policy_file/mod.rs
@@ -1,6 +1,7 @@
-//! The operators' policy file: read, and checked against the rules, all of it at once.
+//! Parses and validates the policy file that operators write.
 //!
-//! Every error names the file, line and column, the field, the rule that it breaks, and a value that would do.
+//! Parsing continues after an error and reports all errors at once. An error contains the file, line, column and field,
+//! and the violated rule and a valid value where there is one.
 
 mod duration;
 mod error;
@@ -20,29 +21,29 @@
 use std::cmp::Reverse;
 use toml_edit::Document;
 
-/// What a file is checked against: the deployment's settings and names.
+/// Deployment settings and names that a policy file is validated against.
 #[derive(Clone, Debug)]
 pub struct PolicyContext {
-    /// The settings.
+    /// Settings of the deployment.
     pub settings: Settings,
-    /// The classes' names, in the settings' order.
+    /// Class names, in the order of the settings.
     pub classes: Vec<String>,
-    /// How long clients of each class wait over all tries.
+    /// How long clients of each class wait in total, in the order of the settings.
     pub deadlines: Vec<Micros>,
-    /// The tenants' names.
+    /// Tenant names, in the order of the settings.
     pub tenants: Vec<String>,
 }
 
-/// Larger files are refused: no deployment has so many routes.
+/// Maximum size of a policy file.
 const MAX_FILE_BYTES: usize = 1 << 20;
 const ROOT_KEYS: [&str; 5] = ["default", "route", "budget", "window", "room"];
 
-/// Reads and checks a policy. The errors come in the order of the file, all of them.
+/// Parses and validates a policy file. `file` is its name for messages. On failure, returns all errors in file order.
 pub fn parse(file: &str, text: &str, context: &PolicyContext) -> Result<Policy, Vec<PolicyError>> {
     let mut reader = Reader::new(file, text);
     let whole_file = || "file".to_owned();
     if text.len() > MAX_FILE_BYTES {
-        reader.report(&(0..0), whole_file(), format!("is larger than {MAX_FILE_BYTES} bytes"));
+        reader.report(&(0..0), whole_file(), format!("larger than the maximum of {MAX_FILE_BYTES} bytes"));
         return Err(reader.into_errors());
     }
     match Document::parse(text) {
@@ -58,14 +59,14 @@
         }
         Err(error) => {
             let span = error.span().unwrap_or(0..0);
-            let message = format!("is no TOML: {}", error.message().replace('\n', "; "));
+            let message = format!("invalid TOML: {}", error.message().replace('\n', "; "));
             reader.report(&span, whole_file(), message);
             Err(reader.into_errors())
         }
     }
 }
 
-/// The policy that a file says; it means nothing if the reader has errors after it.
+/// Builds the policy from a parsed document. The result is only valid if the reader has no errors afterwards.
 fn read_policy(reader: &mut Reader<'_>, root: &Section<'_>, context: &PolicyContext) -> Policy {
     reader.reject_unknown_keys(root, &ROOT_KEYS);
     let mut sections = SectionReader { reader, root, context };
@@ -76,7 +77,7 @@
     let window_shares = sections.window_shares();
     let default = sections.default_route(&budget_names);
     let mut routes = sections.routes(&default.route.limits, &budget_names);
-    // Most specific first; of equals, which the checks refuse, the one that stands first.
+    // Most specific first. The sort is stable, so that the checks report the later one of two equal routes.
     routes.sort_by_key(|entry| Reverse(entry.route.matcher.specificity()));
     routes.push(default);
     RuleChecks { context, routes: &routes }.run(reader);
--- a/limits/src/policy_file/reader.rs
+++ b/limits/src/policy_file/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of TOML values that takes down every error with its place.
+//! Reads typed TOML values and collects every error with its position.
 
 use super::{format_duration, PolicyError};
 use crate::text_position::{line_at, TextPosition};
@@ -6,12 +6,12 @@
 use std::ops::{Range, RangeInclusive};
 use toml_edit::{Item, TableLike, Value};
 
-/// A name in the file is taken for a misspelt known one if they differ by this many edits, and one more for every
-/// so many letters.
+/// Edit distance up to which a known name is suggested for an unknown one, plus one edit for each
+/// `CHARS_PER_EXTRA_EDIT` bytes of the unknown name.
 const BASE_EDIT_DISTANCE: usize = 1;
 const CHARS_PER_EXTRA_EDIT: usize = 4;
 
-/// A table of the file: its path, and its place for what it lacks.
+/// A table of the file, with its path and its span. The span locates errors about missing keys.
 pub(super) struct Section<'i> {
     pub(super) table: &'i dyn TableLike,
     pub(super) path: String,
@@ -19,7 +19,7 @@
 }
 
 impl Section<'_> {
-    /// The path of a key in this table.
+    /// Full path of a key in this table.
     pub(super) fn path(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -28,13 +28,13 @@
         }
     }
 
-    /// The place of a key's value, else of the key, else of the table.
+    /// Span of a key's value, or else of the key, or else of the table.
     pub(super) fn span(&self, key: &str) -> Range<usize> {
         let value = self.table.get(key).and_then(Item::span);
         value.unwrap_or_else(|| self.key_span(key))
     }
 
-    /// The place of a key itself, else of its value, else of the table.
+    /// Span of a key, or else of its value, or else of the table.
     pub(super) fn key_span(&self, key: &str) -> Range<usize> {
         let key_span = self.table.key(key).and_then(|k| k.span());
         let value_span = || self.table.get(key).and_then(Item::span);
@@ -45,7 +45,7 @@
         self.table.contains_key(key)
     }
 
-    /// Whether a key says `"none"`: what it would inherit is taken away.
+    /// Whether a key is set to `"none"`, which removes an inherited limit.
     pub(super) fn is_none(&self, key: &str) -> bool {
         self.table.get(key).and_then(Item::as_str) == Some("none")
     }
@@ -55,13 +55,14 @@
     }
 }
 
-/// An error, and the byte that it is sorted by.
+/// An error and its byte offset, by which errors are sorted.
 struct PlacedError {
     offset: usize,
     error: PolicyError,
 }
 
-/// Reads values of one file and collects what is wrong with them.
+/// Reads values of one file and collects errors. Methods that return `None` have reported an error, or the key is not
+/// set.
 pub(super) struct Reader<'t> {
     file: &'t str,
     text: &'t str,
@@ -73,7 +74,7 @@
         Reader { file, text, errors: Vec::new() }
     }
 
-    /// All errors, in the order of the file.
+    /// All errors, in file order.
     pub(super) fn into_errors(mut self) -> Vec<PolicyError> {
         self.errors.sort_by_key(|placed| placed.offset);
         self.errors.into_iter().map(|placed| placed.error).collect()
@@ -93,7 +94,7 @@
         self.errors.push(PlacedError { offset, error });
     }
 
-    /// Reports an error of a key's value.
+    /// Reports an error at a key's value.
     pub(super) fn report_value(&mut self, section: &Section<'_>, key: &str, message: impl Into<String>) {
         self.report(&section.span(key), section.path(key), message);
     }
@@ -116,7 +117,7 @@
 
     pub(super) fn require(&mut self, section: &Section<'_>, keys: &[&str]) {
         for key in keys.iter().filter(|key| !section.has(key)) {
-            self.report(&section.span, section.path(key), "is missing");
+            self.report(&section.span, section.path(key), "missing required field");
         }
     }
 
@@ -153,12 +154,12 @@
             Some(Value::Float(number)) => *number.value(),
             Some(Value::Integer(number)) => *number.value() as f64,
             _ => {
-                self.report_value(section, key, format!("should be a number from {allowed}"));
+                self.report_value(section, key, format!("expected a number from {allowed}"));
                 return None;
             }
         };
         if number.is_nan() {
-            self.report_value(section, key, format!("nan is no number; {allowed} is allowed"));
+            self.report_value(section, key, format!("nan is not a number; {allowed} is allowed"));
             return None;
         }
         if !range.contains(&number) {
@@ -176,7 +177,7 @@
     ) -> Option<u32> {
         let allowed = format!("{} to {}", range.start(), range.end());
         let Some(number) = section.table.get(key)?.as_value().and_then(Value::as_integer) else {
-            self.report_value(section, key, format!("should be a whole number from {allowed}"));
+            self.report_value(section, key, format!("expected an integer from {allowed}"));
             return None;
         };
         let within = u32::try_from(number).ok().filter(|number| range.contains(number));
@@ -189,12 +190,12 @@
     pub(super) fn string(&mut self, section: &Section<'_>, key: &str) -> Option<String> {
         let text = section.table.get(key)?.as_str();
         if text.is_none() {
-            self.report_value(section, key, "should be text in quotes");
+            self.report_value(section, key, "expected a string in quotes");
         }
         text.map(str::to_owned)
     }
 
-    /// One of some names: its place among them.
+    /// Reads one of the `known` names and returns its index. `kind` describes the names in error messages.
     pub(super) fn choice(
         &mut self,
         section: &Section<'_>,
@@ -210,7 +211,7 @@
         index
     }
 
-    /// A table within this one.
+    /// Reads a nested table. `example` is shown if the value is not a table.
     pub(super) fn table<'i>(
         &mut self,
         section: &Section<'i>,
@@ -219,38 +220,39 @@
     ) -> Option<Section<'i>> {
         let table = section.table.get(key)?.as_table_like();
         if table.is_none() {
-            self.report_value(section, key, format!("should be a table such as {example}"));
+            self.report_value(section, key, format!("expected a table such as {example}"));
         }
         table.map(|table| Section { table, path: section.path(key), span: section.span(key) })
     }
 }
 
-/// The duration that a value says, or what is wrong with it.
+/// Parses a duration, or returns an error message.
 fn parse_duration_item(item: &Item) -> Result<Micros, String> {
     match item.as_value() {
         Some(Value::String(text)) => {
             let duration = humantime::parse_duration(text.value());
-            let duration = duration
-                .map_err(|_| format!("'{}' is no time; \"300ms\" or \"2s\" would be", text.value()))?;
+            let duration = duration.map_err(|_| {
+                format!("invalid duration '{}'; use a value such as \"300ms\" or \"2s\"", text.value())
+            })?;
             Ok(Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX))
         }
         Some(Value::Integer(number)) => {
             let number = number.value();
-            Err(format!("{number} has no unit; write \"{number}ms\" or \"{number}s\""))
+            Err(format!("duration {number} has no unit; use \"{number}ms\" or \"{number}s\""))
         }
         Some(Value::Float(number)) => {
-            Err(format!("{} has no unit; write a time such as \"1500ms\"", number.value()))
+            Err(format!("duration {} has no unit; use a value such as \"1500ms\"", number.value()))
         }
-        _ => Err("should be a time such as \"300ms\"".to_owned()),
+        _ => Err("expected a duration such as \"300ms\"".to_owned()),
     }
 }
 
-/// What is said of a name that is not known: the nearest known one, or all of them.
+/// Error message for an unknown name. Suggests the closest known name, or else lists all of them.
 fn unknown_name_message(kind: &str, name: &str, known: &[&str]) -> String {
     match nearest(name, known) {
-        Some(near) => format!("no {kind} is called '{name}'; did you mean '{near}'?"),
-        None if known.is_empty() => format!("no {kind} is called '{name}'; there is none"),
-        None => format!("no {kind} is called '{name}'; there are {}", known.join(", ")),
+        Some(near) => format!("unknown {kind} '{name}'; did you mean '{near}'?"),
+        None if known.is_empty() => format!("unknown {kind} '{name}'; none is defined"),
+        None => format!("unknown {kind} '{name}'; expected one of {}", known.join(", ")),
     }
 }
 
--- a/limits/src/policy_file/route_limits.rs
+++ b/limits/src/policy_file/route_limits.rs
@@ -1,4 +1,4 @@
-//! Reads the limits that a table gives, over those that it inherits.
+//! Reads the limits of `[default]` or a route. Unset keys inherit their value.
 
 use super::reader::{Reader, Section};
 use super::{format_duration, PolicyContext};
@@ -8,7 +8,7 @@
 use notchdoor::Micros;
 use std::ops::RangeInclusive;
 
-/// The keys that `[default]` and every route may have.
+/// Keys that are allowed in `[default]` and in every route.
 pub(super) const LIMIT_KEYS: [&str; 12] = [
     "attempt",
     "total",
@@ -29,24 +29,24 @@
 const HOUR: Micros = 3_600 * SECOND;
 const TIMEOUT_RANGE: RangeInclusive<Micros> = MILLISECOND..=HOUR;
 const BACKOFF_RANGE: RangeInclusive<Micros> = 0..=HOUR;
-/// Windows of breakers, and how long these stay open.
+/// Allowed sliding windows and open durations of circuit breakers.
 const BREAKER_DURATION_RANGE: RangeInclusive<Micros> = 100 * MILLISECOND..=600 * SECOND;
 const CONCURRENCY_RANGE: RangeInclusive<u32> = 1..=100_000;
-/// What a route may leave to others of a budget, or of what may be in flight.
+/// Allowed shares of a retry budget or of the proxy's capacity that a route may reserve for others.
 const RESERVE_RANGE: RangeInclusive<f64> = 0.0..=0.9;
 const BREAKER_RATIO_RANGE: RangeInclusive<f64> = 0.05..=1.0;
 
 const DEFAULT_JITTER: f64 = 0.5;
 const DEFAULT_MIN_ATTEMPTS: u32 = 10;
 const DEFAULT_PROBES_TO_CLOSE: u32 = 3;
-/// No share reaches it: slow answers never open the breaker.
+/// Above the highest possible share, so that slow attempts never open the breaker.
 const SLOW_RATIO_DISABLED: f64 = 2.0;
 
-/// Reads the limits of one table.
+/// Reads the limits of one table. Errors go to `reader`.
 pub(super) struct LimitsReader<'r, 't> {
     pub(super) reader: &'r mut Reader<'t>,
     pub(super) section: &'r Section<'r>,
-    /// The names of the retry budgets.
+    /// Names of the retry budgets, in the order of [`crate::policy::Policy::retry_budgets`].
     pub(super) budgets: &'r [&'r str],
     pub(super) context: &'r PolicyContext,
 }
@@ -74,7 +74,8 @@
         limits
     }
 
-    /// A limit that `"none"` takes away; what is not given or is wrong leaves the inherited one.
+    /// Replaces an inherited limit if the key is set, or removes it if the value is `"none"`. An invalid value leaves
+    /// the inherited limit.
     fn override_limit<T>(
         &mut self,
         key: &str,
@@ -109,7 +110,7 @@
         if initial > max {
             let [first, longest] = [initial, max].map(format_duration);
             let message =
-                format!("the first wait of {first} is longer than the longest, {longest}; swap them");
+                format!("the first delay ({first}) is longer than the longest ({longest}); swap the values");
             reader.report_value(&table, "first", message);
         }
         Some(Backoff { initial, max, jitter })
@@ -119,7 +120,7 @@
         if self.section.table.get("copies")?.as_str().is_some() {
             let known = ["never", "module"];
             let rules = [Hedging::Never, Hedging::RouterDefault];
-            let choice = self.reader.choice(self.section, "copies", "way of second copies", &known)?;
+            let choice = self.reader.choice(self.section, "copies", "copies mode", &known)?;
             return Some(rules[choice]);
         }
         let table = self.reader.table(self.section, "copies", "{ after = 0.95, share = 0.05 }")?;
@@ -133,7 +134,7 @@
 
     fn retry_rule(&mut self) -> Option<RetryRule> {
         let rules = [RetryRule::ByClass, RetryRule::Never];
-        let choice = self.reader.choice(self.section, "repeat", "way of repeating", &["class", "never"])?;
+        let choice = self.reader.choice(self.section, "repeat", "repeat mode", &["class", "never"])?;
         Some(rules[choice])
     }
 
@@ -150,7 +151,8 @@
         let max = reader.integer(&table, "most", CONCURRENCY_RANGE);
         let (min, max) = (min?, max?);
         if min > max {
-            let message = format!("the least of {min} is more than the most, {max}; swap them");
+            let message =
+                format!("the lower bound ({min}) is greater than the upper bound ({max}); swap the values");
             reader.report_value(&table, "least", message);
         }
         Some(ConcurrencyLimit::Adaptive(ConcurrencyBounds { min, max: max.max(min) }))
@@ -166,7 +168,7 @@
         if table.has("slow") != table.has("slow_after") {
             let (given, missing) =
                 if table.has("slow") { ("slow", "slow_after") } else { ("slow_after", "slow") };
-            let message = format!("says nothing without '{missing}'; give both or neither");
+            let message = format!("has no effect without '{missing}'; set both or neither");
             reader.report_value(&table, given, message);
         }
         let failure_ratio = reader.number(&table, "failures", BREAKER_RATIO_RANGE);
@@ -190,7 +192,7 @@
     fn retry_after(&mut self) -> Option<Micros> {
         let max = self.context.settings.max_retry_after;
         if max == 0 && self.section.has("retry_after") {
-            let message = "clients get no retry-after here (the settings say so); leave it out";
+            let message = "the settings disable Retry-After; remove this field";
             self.reader.report_value(self.section, "retry_after", message);
             return None;
         }
--- a/limits/src/policy_file/rules.rs
+++ b/limits/src/policy_file/rules.rs
@@ -1,5 +1,5 @@
-//! Checks a whole policy against the platform's rules: time limits, idempotency, and what the origin and cold
-//! backends can bear.
+//! Validates a policy against the platform's rules on client deadlines, idempotency, and the load on the origin and on
+//! cold backends.
 
 use super::reader::Reader;
 use super::sections::RouteEntry;
@@ -8,28 +8,28 @@
 use notchdoor::{Class, Effect, Micros, Scope, Settings};
 use std::ops::Range;
 
-/// A slow answer, by a breaker's rule, takes at least this fraction of the class's objective.
+/// A breaker's `slow_after` must be at least the class's latency objective divided by this.
 const SLOW_AFTER_DIVISOR: u64 = 4;
-/// A whole request's timeout below this fraction of the class's objective starves the class.
+/// A total timeout must be at least the class's latency objective divided by this.
 const TOTAL_TIMEOUT_DIVISOR: u64 = 10;
-/// So does an attempt's timeout below this one.
+/// An attempt timeout must be at least the class's latency objective divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u64 = 20;
-/// Reads need one attempt at a backend and one for the fetch of what it lacks.
+/// Reads need one attempt at a backend and, after a cache miss, one at the origin.
 const MIN_READ_ATTEMPTS: u32 = 2;
 const MILLISECOND: Micros = 1_000;
 
-/// Checks of a whole policy.
+/// Checks that involve all routes of a policy.
 pub(super) struct RuleChecks<'c> {
     pub(super) context: &'c PolicyContext,
-    /// Most specific first, the default last.
+    /// Routes, most specific first; the default route is last.
     pub(super) routes: &'c [RouteEntry],
 }
 
-/// Where a field that is in force at a route stands in the file.
+/// Where a field that applies to a route is set in the file.
 struct FieldLocation {
     span: Range<usize>,
     path: String,
-    /// Said after the message if the field is inherited.
+    /// Suffix of the message if the field is inherited, else empty.
     inherited_note: String,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether a request of this class can come to this route: no more specific one takes all that it would.
+    /// Whether requests of this class can match this route, because no earlier route covers all of them.
     fn can_match_class(&self, index: usize, class: u32) -> bool {
         let matcher = &self.routes[index].route.matcher;
         if matcher.class.is_some_and(|own| own != class) {
@@ -54,13 +54,13 @@
         !self.covered_by_earlier(index, &RouteMatch { class: Some(class), ..matcher.clone() })
     }
 
-    /// Whether one route before this one takes all that `wanted` would.
+    /// Whether one earlier route matches every request that `wanted` matches.
     fn covered_by_earlier(&self, index: usize, wanted: &RouteMatch) -> bool {
         self.routes[..index].iter().any(|earlier| earlier.route.matcher.covers(wanted))
     }
 
     fn check_reachable(&self, reader: &mut Reader<'_>, index: usize) {
-        // The default is there for what is left, and that may be nothing.
+        // The default route may be unreachable.
         if index + 1 == self.routes.len() {
             return;
         }
@@ -69,15 +69,18 @@
         let same = self.routes[..index].iter().find(|earlier| earlier.route.matcher == *matcher);
         if let Some(same) = same {
             let name = &same.route.name;
-            let message = format!("takes exactly what '{name}' takes, and so nothing; merge the two");
+            let message = format!(
+                "matches the same requests as route '{name}' and is never used; merge the two routes"
+            );
             return self.report(reader, entry, "name", &message);
         }
-        // Both halves of it taken by others leave nothing.
+        // Two earlier routes, one for reads and one for writes, can cover this route together.
         let half = |write| RouteMatch { write: Some(write), ..matcher.clone() };
         let both_covered =
             || [true, false].into_iter().all(|write| self.covered_by_earlier(index, &half(write)));
         if matcher.write.is_none() && both_covered() {
-            let message = "takes nothing: routes for reads and for writes take all of it; remove it";
+            let message =
+                "is never used: earlier routes for reads and for writes match all of its requests; remove it";
             self.report(reader, entry, "name", message);
         }
     }
@@ -104,7 +107,7 @@
         reader.report(&location.span, location.path, format!("{message}{}", location.inherited_note));
     }
 
-    /// Where a field of a route stands: at the route, else at the default that it inherits from.
+    /// Location of a field in the route, or else in the default route that it inherits from, or else of the route.
     fn locate_field(&self, entry: &RouteEntry, field: &str) -> FieldLocation {
         let find_span = |entry: &RouteEntry| {
             entry.fields.iter().find(|given| given.key == field).map(|given| given.span.clone())
@@ -118,7 +121,7 @@
         }
         match self.routes.last().and_then(find_span) {
             Some(span) => {
-                let inherited_note = format!(" (as route '{name}' inherits it)");
+                let inherited_note = format!(" (inherited by route '{name}')");
                 FieldLocation { span, path: default_path, inherited_note }
             }
             None => FieldLocation { span: entry.span.clone(), path: own_path, inherited_note: String::new() },
@@ -126,19 +129,19 @@
     }
 }
 
-/// Checks of one route against one class whose requests it takes.
+/// Checks of one route against one class of requests that it can match.
 struct ClassChecks<'r> {
     rules: &'r RuleChecks<'r>,
     entry: &'r RouteEntry,
     limits: &'r RouteLimits,
     settings: &'r Settings,
     class: &'r Class,
-    /// The class's name.
+    /// Name of the class.
     class_name: &'r str,
-    /// How long the class's clients wait.
+    /// How long clients of the class wait.
     deadline: Micros,
     max_attempts: u32,
-    /// How long the route keeps trying.
+    /// The route's total timeout, or else the deadline.
     time_limit: Micros,
 }
 
@@ -157,30 +160,31 @@
         self.rules.report(reader, self.entry, field, message);
     }
 
-    /// What must not run twice has no second attempt beside the first.
+    /// Requests that must not run twice must not be hedged.
     fn check_hedging(&self, reader: &mut Reader<'_>) {
         if !matches!(self.limits.hedging, Hedging::AfterQuantile { .. }) {
             return;
         }
         let name = self.class_name;
-        let never = "write copies = \"never\"";
+        let never = "set copies = \"never\"";
         let message = match self.class.effect {
             Effect::AtMostOnce => format!(
-                "second copies would reach '{name}', which must never run twice (rule 2); {never} in a route for it"
+                "hedged requests are not allowed for class '{name}', which must not run twice (rule 2); {never} in a \
+                 route for it"
             ),
             Effect::Deduplicated { scope, .. } if scope != Scope::All => format!(
-                "second copies would reach '{name}', whose repeats only its own group drops (rule 2); {never} in a \
-                 route for it"
+                "hedged requests are not allowed for class '{name}', whose repeats are dropped only within one zone or \
+                 cell (rule 2); {never} in a route for it"
             ),
             _ if !self.settings.hedging => {
-                format!("second copies are not allowed here (the settings say so); {never}")
+                format!("the settings disable hedged requests; {never}")
             }
             _ => return,
         };
         self.report(reader, "copies", &message);
     }
 
-    /// Attempts and the waits between them end before the client gives up. The first problem says it all.
+    /// All attempts and the delays between them must end before the request times out. Reports only the first violation.
     fn check_schedule(&self, reader: &mut Reader<'_>) {
         if self.limits.total_timeout.is_some_and(|total| total > self.deadline) {
             return self.report_total_beyond_deadline(reader);
@@ -195,8 +199,8 @@
         if total_backoff >= self.time_limit {
             let longest_wait = self.time_limit / u64::from(self.max_attempts) / 2;
             let message = format!(
-                "the waits before the repeats of '{}' alone take up to {}, but it is given up after {} (rule 1); \
-                 most = \"{}\" would do",
+                "the delays before the retries of class '{}' alone add up to {}, but its requests time out after {} \
+                 (rule 1); use most = \"{}\"",
                 self.class_name,
                 format_duration(total_backoff),
                 format_duration(self.time_limit),
@@ -209,7 +213,7 @@
     fn report_total_beyond_deadline(&self, reader: &mut Reader<'_>) {
         let deadline = format_duration(self.deadline);
         let message = format!(
-            "{} outlasts '{}', which clients give up after {deadline} (rule 1); \"{deadline}\" would do",
+            "{} is longer than clients of class '{}' wait, which is {deadline} (rule 1); use at most \"{deadline}\"",
             format_duration(self.time_limit),
             self.class_name
         );
@@ -226,13 +230,13 @@
         let suggested = time_limit.saturating_sub(total_backoff) / u64::from(self.max_attempts);
         let suggested = suggested / MILLISECOND * MILLISECOND;
         let advice = if suggested >= MILLISECOND {
-            format!("attempt = \"{}\" would do", format_duration(suggested))
+            format!("use attempt = \"{}\"", format_duration(suggested))
         } else {
-            "shorter waits or fewer attempts would do".to_owned()
+            "use a shorter backoff or fewer attempts".to_owned()
         };
         let message = format!(
-            "{} attempts of '{}' and the waits between them take up to {}, but it is given up after {} (rule 1); \
-             {advice}",
+            "{} attempts of class '{}' and the delays between them take up to {}, but its requests time out after {} \
+             (rule 1); {advice}",
             self.max_attempts,
             self.class_name,
             format_duration(worst_case),
@@ -241,7 +245,7 @@
         self.report(reader, "attempt", &message);
     }
 
-    /// The last retry starts while the server still drops repeats.
+    /// The last retry must start while servers still drop repeats of the first attempt.
     fn check_dedup_window(&self, reader: &mut Reader<'_>) {
         let Effect::Deduplicated { window, .. } = self.class.effect else { return };
         if self.limits.retry != RetryRule::ByClass || self.max_attempts < 2 {
@@ -252,8 +256,8 @@
             self.limits.worst_case_duration(self.max_attempts).map_or(0, |worst| worst - attempt_timeout);
         if last_start > window {
             let message = format!(
-                "the last repeat of '{}' could start {} after the first attempt, but repeats are dropped for {} only \
-                 (rule 2); write repeat = \"never\" or a shorter attempt",
+                "the last retry of class '{}' can start {} after the first attempt, but servers drop repeats for only \
+                 {} (rule 2); set repeat = \"never\" or a shorter attempt",
                 self.class_name,
                 format_duration(last_start),
                 format_duration(window)
@@ -262,28 +266,28 @@
         }
     }
 
-    /// A read that may not fetch what a backend lacks leaves a cold backend empty.
+    /// Without a second attempt, reads cannot fetch from the origin after a cache miss, and a cold backend stays empty.
     fn check_read_attempts(&self, reader: &mut Reader<'_>) {
         let takes_reads = self.entry.route.matcher.write != Some(true);
         let reads = self.class.effect == Effect::Idempotent && takes_reads;
         if reads && self.max_attempts < MIN_READ_ATTEMPTS {
             let message = format!(
-                "{} starves '{}': what a worker lacks could not be fetched, and a cold one would stay empty (rule 4); \
-                 {MIN_READ_ATTEMPTS} would do",
+                "{} is too few for reads of class '{}': after a cache miss the value could not be fetched from the \
+                 origin, and a cold backend would stay empty (rule 4); use at least {MIN_READ_ATTEMPTS}",
                 self.max_attempts, self.class_name
             );
             self.report(reader, "attempts", &message);
         }
     }
 
-    /// A breaker that opens on usual answers would leave all warm backends alone.
+    /// A breaker that counts normal responses as slow would exclude healthy backends.
     fn check_slow_after(&self, reader: &mut Reader<'_>) {
         let Some(breaker) = self.limits.circuit_breaker else { return };
         let objective = self.class.latency_objective;
         if breaker.slow_after.saturating_mul(SLOW_AFTER_DIVISOR) < objective {
             let message = format!(
-                "{} is no slow answer to '{}', which is wanted within {}: servers would be left alone for what is \
-                 usual; slow_after = \"{}\" would do",
+                "slow_after of {} is too short for class '{}' with a latency objective of {}: the breaker would open on \
+                 normal responses; use slow_after = \"{}\"",
                 format_duration(breaker.slow_after),
                 self.class_name,
                 format_duration(objective),
@@ -295,7 +299,7 @@
 
     fn check_timeouts_against_objective(&self, reader: &mut Reader<'_>) {
         let objective = self.class.latency_objective;
-        let wanted = format_duration(objective);
+        let target = format_duration(objective);
         let is_too_short = |timeout: Micros, divisor: u64| timeout.saturating_mul(divisor) < objective;
         let name = self.class_name;
         if let Some(total) =
@@ -303,8 +307,8 @@
         {
             let total = format_duration(total);
             let message = format!(
-                "{total} starves '{name}', which is wanted within {wanted}: next to nothing could be served; \
-                 \"{wanted}\" would do"
+                "{total} is too short for class '{name}' with a latency objective of {target}: almost no request could \
+                 succeed; use \"{target}\""
             );
             self.report(reader, "total", &message);
         }
@@ -312,19 +316,19 @@
         if let Some(attempt) = attempt.filter(|attempt| is_too_short(*attempt, ATTEMPT_TIMEOUT_DIVISOR)) {
             let [attempt, suggested] = [attempt, objective / 2].map(format_duration);
             let message = format!(
-                "{attempt} starves '{name}', which is wanted within {wanted}; \"{suggested}\" would do"
+                "{attempt} is too short for class '{name}' with a latency objective of {target}; use \"{suggested}\""
             );
             self.report(reader, "attempt", &message);
         }
     }
 
-    /// The class of the highest priority weight has no other to leave room to.
+    /// Classes with the highest priority weight must not reserve capacity for others.
     fn check_reserved_capacity(&self, reader: &mut Reader<'_>) {
         let highest = self.settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
         if self.limits.reserved_capacity > 0.0 && self.class.priority_weight >= highest {
             let message = format!(
-                "'{}' is of the most worth, and would leave room for what is worth less; leave keep_free out of its \
-                 route",
+                "class '{}' has the highest priority weight and must not leave capacity to others; remove keep_free \
+                 from its route",
                 self.class_name
             );
             self.report(reader, "keep_free", &message);
--- a/limits/src/policy_file/sections.rs
+++ b/limits/src/policy_file/sections.rs
@@ -1,4 +1,4 @@
-//! Reads the sections of a policy file beside the limits themselves: budgets, shares of the window, and routes.
+//! Reads the sections of a policy file: retry budgets, window shares and routes.
 
 use super::reader::{Reader, Section};
 use super::route_limits::{LimitsReader, LIMIT_KEYS};
@@ -8,33 +8,33 @@
 use std::ops::Range;
 use toml_edit::{Item, Table};
 
-/// The keys by which a route is named and says what it takes.
+/// Keys of a route that set its name and match conditions.
 const ROUTE_KEYS: [&str; 5] = ["name", "class", "tenant", "prefix", "access"];
 const MAX_ROUTES: usize = 256;
-/// Together, the retry budgets may add so many attempts to each request.
+/// Maximum sum of `share` over all budgets, in additional attempts per request.
 const MAX_TOTAL_BUDGET_RATIO: f64 = 1.0;
-/// Together, the floors of all proxies' budgets may add so much of what the tenants' quotas allow.
+/// Maximum sum of `floor_per_s` over all budgets and proxies, as a share of the sum of the tenants' quotas.
 const MAX_TOTAL_FLOOR_QUOTA_SHARE: f64 = 0.1;
 const MAX_FLOOR_PER_S: f64 = 1e6;
-/// A class's share of the origin's window where the file says nothing.
+/// Share of the origin's congestion window for a class that the file does not mention.
 const DEFAULT_WINDOW_SHARE: f64 = 1.0;
 const DEFAULT_ROUTE: &str = "default";
 
-/// A route as it was read, with where its fields stand.
+/// A route with the spans of its table and fields.
 pub(super) struct RouteEntry {
     pub(super) route: Route,
     pub(super) span: Range<usize>,
     pub(super) fields: Vec<FieldSpan>,
 }
 
-/// Where the value of a route's field stands.
+/// Span of the value of a route's field.
 pub(super) struct FieldSpan {
     pub(super) key: &'static str,
     pub(super) span: Range<usize>,
 }
 
 impl RouteEntry {
-    /// The default route, before its table was read.
+    /// The default route without limits.
     fn empty_default() -> Self {
         let matcher = RouteMatch::default();
         let route = Route { name: DEFAULT_ROUTE.to_owned(), matcher, limits: RouteLimits::default() };
@@ -54,7 +54,7 @@
 }
 
 impl SectionReader<'_, '_> {
-    /// The retry budgets, each checked together with those before it.
+    /// Reads the retry budgets. Each is checked together with those before it.
     pub(super) fn retry_budgets(&mut self) -> Vec<RetryBudget> {
         let Some(all) = self.reader.table(self.root, "budget", "[budget.reads]") else { return Vec::new() };
         let mut budgets = Vec::new();
@@ -84,8 +84,8 @@
         }
         let suggested = (MAX_TOTAL_BUDGET_RATIO - (total - current.tokens_per_request)).max(0.0);
         let message = format!(
-            "together the budgets add {total:.2} attempts to each request, and the origin bears no more than \
-             {MAX_TOTAL_BUDGET_RATIO} (rule 4); {suggested:.2} would do here"
+            "all budgets together allow {total:.2} additional attempts per request, which is more than the maximum of \
+             {MAX_TOTAL_BUDGET_RATIO} that protects the origin (rule 4); use at most {suggested:.2} here"
         );
         self.reader.report_value(table, "share", message);
     }
@@ -102,13 +102,14 @@
         let fleet = floors * proxies;
         let suggested = (max_floors - (floors - current.tokens_per_s)).max(0.0);
         let message = format!(
-            "together the floors of {proxies} proxies add {fleet:.1} attempts a second, over a tenth of the \
-             {quotas:.0} that the shares allow (rule 4); {suggested:.2} would do here"
+            "the floors of all budgets allow {fleet:.1} additional attempts per second over {proxies} proxies, which is \
+             more than a tenth of the {quotas:.0} requests per second that the tenants' quotas allow (rule 4); use at \
+             most {suggested:.2} here"
         );
         self.reader.report_value(table, "floor_per_s", message);
     }
 
-    /// Each class's share of the origin's window, by its place in the settings.
+    /// Reads the share of the origin's congestion window of each class, in the order of the settings.
     pub(super) fn window_shares(&mut self) -> Vec<f64> {
         let classes = names(&self.context.classes);
         let mut shares = vec![DEFAULT_WINDOW_SHARE; classes.len()];
@@ -125,7 +126,7 @@
         shares
     }
 
-    /// The route that takes what no other does, and that the others inherit from.
+    /// Reads the default route, which matches all remaining requests and from which the other routes inherit.
     pub(super) fn default_route(&mut self, budgets: &[&str]) -> RouteEntry {
         let mut default = RouteEntry::empty_default();
         if let Some(section) = self.reader.table(self.root, DEFAULT_ROUTE, "[default]") {
@@ -137,17 +138,17 @@
         default
     }
 
-    /// All `[[route]]` tables, in the order of the file.
+    /// Reads all `[[route]]` tables, in file order.
     pub(super) fn routes(&mut self, default: &RouteLimits, budgets: &[&str]) -> Vec<RouteEntry> {
         let mut routes: Vec<RouteEntry> = Vec::new();
         let Some(item) = self.root.table.get("route") else { return routes };
         let Some(tables) = item.as_array_of_tables() else {
-            let message = "should be tables, each headed by [[route]]";
+            let message = "expected an array of tables, each starting with [[route]]";
             self.reader.report_value(self.root, "route", message);
             return routes;
         };
         if tables.len() > MAX_ROUTES {
-            let message = format!("{} routes are more than {MAX_ROUTES}", tables.len());
+            let message = format!("{} routes exceed the maximum of {MAX_ROUTES}", tables.len());
             self.reader.report_value(self.root, "route", message);
             return routes;
         }
@@ -172,10 +173,11 @@
         let section = Section { table, path: format!("route.{name}"), span };
         self.reader.reject_unknown_keys(&section, &[&LIMIT_KEYS[..], &ROUTE_KEYS].concat());
         if configured_name.is_none() {
-            let message = "every route needs a name in quotes: messages and what it has learnt go by it";
+            let message =
+                "every route needs a non-empty name in quotes, which identifies it in messages and across reloads";
             self.reader.report_value(&section, "name", message);
         } else if name == DEFAULT_ROUTE || earlier.iter().any(|entry| entry.route.name == name) {
-            let message = format!("'{name}' is taken; give it another name");
+            let message = format!("route name '{name}' is already in use; choose another name");
             self.reader.report_value(&section, "name", message);
         }
         let matcher = self.matcher(&section);
@@ -189,7 +191,7 @@
         let class = self.reader.choice(section, "class", "class", &classes);
         let tenant = self.reader.choice(section, "tenant", "tenant", &tenants);
         let prefix = self.reader.string(section, "prefix").unwrap_or_default();
-        let access = self.reader.choice(section, "access", "access", &["read", "write"]);
+        let access = self.reader.choice(section, "access", "access mode", &["read", "write"]);
         RouteMatch {
             class: class.map(|index| index as u32),
             tenant: tenant.map(|index| index as u32),
--- a/limits/src/stack.rs
+++ b/limits/src/stack.rs
@@ -1,19 +1,19 @@
-//! The decisions as a host drives them: the router alone, or with the layer of limits round it.
+//! The decision stack that a host drives: the router alone or wrapped in the limits layer.
 
 use crate::layer::LimitsLayer;
 use crate::policy::Policy;
 use notchdoor::{Action, Decide, Event, InFlight, Micros, RequestId, Router, Settings};
 use std::sync::Arc;
 
-/// The decisions of one proxy. Hosts do not know which layers are on.
+/// Decision logic of one proxy. Hosts use it the same way whether or not limits are enabled.
 pub enum Stack {
-    /// The router alone.
+    /// The router without limits.
     Plain(Box<Router>),
-    /// The router with limits round it.
+    /// The router wrapped in the limits layer.
     Limited(Box<LimitsLayer<Router>>),
 }
 
-/// The settings of the router under a policy: those of the deployment, changed where the policy says so.
+/// Returns the deployment's settings with the policy's window shares applied, for the router inside the limits layer.
 pub fn router_settings(settings: &Settings, policy: &Policy) -> Settings {
     let mut settings = settings.clone();
     for (class, share) in settings.classes.iter_mut().zip(&policy.window_shares) {
@@ -23,7 +23,7 @@
 }
 
 impl Stack {
-    /// The stack for a policy, or for none.
+    /// Creates a stack with limits if there is a policy, and without limits otherwise.
     pub fn new(settings: Settings, policy: Option<Arc<Policy>>, seed: u64, now: Micros) -> Self {
         match policy {
             None => Stack::Plain(Box::new(Router::new(settings, seed, now))),
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Takes up another policy; requests that are open keep the limits they began with. False if that takes a
-    /// restart: the stack began without a policy, or is to go on without one.
+    /// Replaces the policy; open requests keep the limits that they started with. Returns false if the change requires
+    /// a restart, because it would add limits to a stack without them or remove them.
     pub fn reload(&mut self, policy: Option<Arc<Policy>>, now: Micros) -> bool {
         match (self, policy) {
             (Stack::Limited(limits), Some(policy)) => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The router, at the heart of it.
+    /// The router inside the stack.
     pub fn router(&self) -> &Router {
         match self {
             Stack::Plain(router) => router,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Requests held and attempts out, as the outermost layer counts them.
+    /// Number of tracked requests and of attempts in flight, as counted by the outermost layer.
     pub fn load(&self) -> (usize, u64) {
         match self {
             Stack::Plain(router) => {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// What is still kept that should be gone once every request is over.
+    /// Describes state that remains after all requests have finished, or `None` if there is none. Meant for tests and
+    /// leak checks while no request is open.
     pub fn leaked_state(&self) -> Option<String> {
         let snapshot = self.router().snapshot();
         let in_flight = self.router().in_flight();
--- a/limits/src/text_position.rs
+++ b/limits/src/text_position.rs
@@ -1,16 +1,17 @@
-//! Where a byte of a text stands, as editors and error messages count: by line and column.
+//! Converts byte offsets in a text to line and column numbers for error messages.
 
-/// A place in a text.
+/// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TextPosition {
-    /// The line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// Column number in characters, starting at 1.
     pub column: usize,
 }
 
 impl TextPosition {
-    /// The place of a byte offset; one beyond the text is its end, one within a character that character's.
+    /// Position of a byte offset. An offset beyond the text gives the end of the text; an offset inside a multi-byte
+    /// character gives the position of that character.
     pub fn of(text: &str, offset: usize) -> Self {
         let before = &text[..char_boundary(text, offset)];
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
@@ -21,7 +22,7 @@
     }
 }
 
-/// The text of the line in which a byte offset stands.
+/// Text of the line that contains a byte offset, without its line break.
 pub fn line_at(text: &str, offset: usize) -> &str {
     let at = char_boundary(text, offset);
     let line_start = text[..at].rfind('\n').map_or(0, |newline| newline + 1);
--- a/limits/src/token_bucket.rs
+++ b/limits/src/token_bucket.rs
@@ -1,23 +1,24 @@
-//! A token bucket for retries and hedged requests: a ratio of recent requests, with a floor for quiet times.
+//! A token bucket that limits retries and hedged requests to a ratio of recent requests, plus a fixed minimum rate.
 
 use notchdoor::Micros;
 
-/// What fills a bucket.
+/// Refill rates of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucketConfig {
-    /// Tokens that each request brings.
+    /// Tokens added by each request.
     pub tokens_per_request: f64,
-    /// Tokens that each second brings, whatever is asked.
+    /// Tokens added per second, regardless of requests.
     pub tokens_per_s: f64,
 }
 
-/// So many seconds of the floor may be saved up.
+/// Seconds of `tokens_per_s` that the bucket can accumulate.
 const MAX_ACCUMULATION_S: f64 = 10.0;
-/// The least capacity of a bucket.
+/// Smallest capacity of a bucket, in tokens.
 const MIN_CAPACITY: f64 = 10.0;
 const MICROS_PER_S: f64 = 1e6;
 
-/// A token bucket. It starts with what its floor saves up: a proxy that has just started may retry.
+/// A token bucket. It starts with the tokens that `tokens_per_s` accumulates, so that a proxy may retry right after
+/// its start.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     config: TokenBucketConfig,
@@ -26,18 +27,18 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is filled so.
+    /// Creates a bucket with the given refill rates.
     pub fn new(config: TokenBucketConfig, now: Micros) -> Self {
         let tokens = (config.tokens_per_s * MAX_ACCUMULATION_S).min(MIN_CAPACITY);
         TokenBucket { config, tokens, refilled_at: now }
     }
 
-    /// The most tokens that it holds.
+    /// Maximum number of tokens.
     pub fn capacity(&self) -> f64 {
         (self.config.tokens_per_s * MAX_ACCUMULATION_S).max(MIN_CAPACITY)
     }
 
-    /// Is filled otherwise from now on; what was saved up stays, up to the new capacity.
+    /// Replaces the refill rates. Tokens above the new capacity are discarded.
     pub fn reconfigure(&mut self, config: TokenBucketConfig) {
         self.config = config;
         self.tokens = self.tokens.min(self.capacity());
@@ -53,13 +54,14 @@
         self.tokens = (self.tokens + tokens).min(self.capacity());
     }
 
-    /// A request has come.
+    /// Adds the tokens for one incoming request.
     pub fn deposit(&mut self, now: Micros) {
         self.refill(now);
         self.add_tokens(self.config.tokens_per_request);
     }
 
-    /// Takes a token, if one is there beyond `reserve`, the share of the capacity that is kept for others.
+    /// Takes one token unless that would leave less than `reserve`, a share of the capacity, for other users of the
+    /// bucket. Returns whether a token was taken.
     pub fn try_acquire(&mut self, now: Micros, reserve: f64) -> bool {
         self.refill(now);
         if self.tokens < 1.0 + reserve * self.capacity() {
@@ -69,7 +71,7 @@
         true
     }
 
-    /// Tokens there now.
+    /// Tokens available as of the latest refill.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/limits/tests/clock.rs
+++ b/limits/tests/clock.rs
@@ -1,4 +1,5 @@
-//! Times that stand still, step back or jump ahead, in random orders: no limit panics, leaks or outlasts a client.
+//! Random event sequences with a clock that stands still, steps back or jumps ahead: limits must not panic, leak state
+//! or wait beyond a client's deadline.
 
 mod common;
 
@@ -19,7 +20,7 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * S;
-/// The last time that is ever stepped to: the jumps end there.
+/// Latest time that the tests use.
 const MAX_TIME: Micros = Micros::MAX;
 const SEEDS: u64 = 40;
 const MAX_ATTEMPTS: u32 = 5;
@@ -31,7 +32,7 @@
     [[route]]\nname = 'r'\nclass = 'read'\nattempt = '400ms'\ntotal = '1600ms'\n\
     copies = { after = 0.9, share = 0.3 }\nconcurrency = { least = 4, most = 64 }\nkeep_free = 0.1\n";
 
-/// The next time: mostly a little later, at times the same, long after, or before.
+/// Next time: mostly slightly later, sometimes equal, much later or earlier.
 fn random_next_time(rng: &mut ChaCha8Rng, now: Micros) -> Micros {
     match rng.random_range(0..20) {
         0..4 => now,
@@ -57,10 +58,10 @@
     all[rng.random_range(0..all.len())]
 }
 
-/// Sends what arrives, and again whatever fails, to one server after another.
+/// A router that sends every request and retries after each attempt that is not the last, on one server after another.
 #[derive(Default)]
 struct RetryingRouter {
-    /// Attempts so far, by request; none once it is over.
+    /// Attempts sent so far for each open request.
     attempts_by_request: BTreeMap<RequestId, u32>,
 }
 
@@ -122,10 +123,10 @@
     LimitsLayer::new(RetryingRouter::default(), settings, Arc::new(policy), seed, now)
 }
 
-/// The layer and what a host knows of it.
+/// The layer with the state that a host keeps.
 struct Host {
     limits: LimitsLayer<RetryingRouter>,
-    /// Attempts out, by request and number.
+    /// Attempts in flight, as request id and attempt number.
     in_flight: Vec<(RequestId, u32)>,
     sent: BTreeMap<RequestId, u32>,
     deadlines: BTreeMap<RequestId, Micros>,
@@ -139,11 +140,14 @@
         for action in actions {
             match action {
                 Action::Send { id, give_up_at, .. } => {
-                    assert!(give_up_at <= self.deadlines[&id], "{id} is waited for beyond its client's time");
+                    assert!(
+                        give_up_at <= self.deadlines[&id],
+                        "an attempt of {id} times out after the client's deadline"
+                    );
                     let number = self.sent.entry(id).or_default();
                     self.in_flight.push((id, *number));
                     *number += 1;
-                    assert!(*number <= 3, "{id} has more attempts than the policy allows");
+                    assert!(*number <= 3, "{id} exceeds the policy's maximum of 3 attempts");
                 }
                 Action::Timer { token, .. } => self.timers.push(token),
                 Action::Cancel { .. } | Action::Reject { .. } | Action::Fail { .. } | Action::Watch => {}
@@ -232,7 +236,10 @@
             + metrics.circuit_open
             + metrics.futile_retries;
     }
-    assert!(sent > 10_000 && rejected_or_withheld > 1_000, "{sent} sent, {rejected_or_withheld} not");
+    assert!(
+        sent > 10_000 && rejected_or_withheld > 1_000,
+        "{sent} sent, {rejected_or_withheld} rejected or withheld"
+    );
 }
 
 #[test]
@@ -246,7 +253,7 @@
             now = random_next_time(&mut rng, now);
             bucket.deposit(now);
             let before = bucket.tokens();
-            // While the time stands still, nothing comes but for requests.
+            // At an unchanged time, only `deposit` adds tokens.
             let acquired = bucket.try_acquire(now, 0.0);
             assert_eq!(bucket.tokens(), before - f64::from(u8::from(acquired)));
             assert!((0.0..=bucket.capacity()).contains(&bucket.tokens()));
@@ -285,7 +292,7 @@
             }
         }
         openings += breaker.times_opened();
-        // It opens at a time near the last one that there is, and closes by a trial at that.
+        // Near the end of the time range, the breaker still opens and then admits a probe.
         breaker.reset();
         (0..2).for_each(|_| {
             breaker.record(MAX_TIME - 1, AttemptResult { probe: false, failed: true, duration: 0 }, Some(S));
--- a/limits/tests/common/mod.rs
+++ b/limits/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Settings that the tests and the benchmark share.
+//! Settings shared by the tests and the benchmark.
 
 use notchdoor::{Class, Discovery, Effect, Settings};
 
-/// A class that is wanted within so many milliseconds.
+/// A class with the given latency objective, priority weight and effect.
 pub fn class(latency_objective_ms: u64, priority_weight: f64, effect: Effect) -> Class {
     Class {
         latency_objective: latency_objective_ms * 1_000,
@@ -13,7 +13,7 @@
     }
 }
 
-/// Settings like the platform's, for so many proxies and these classes.
+/// Settings that resemble a deployment, with the given number of proxies and classes.
 pub fn settings(proxies: u32, classes: Vec<Class>) -> Settings {
     Settings {
         proxies,
--- a/limits/tests/layer.rs
+++ b/limits/tests/layer.rs
@@ -1,4 +1,4 @@
-//! The layer round something that decides by rote, limit by limit; and round the module itself.
+//! Tests of each limit with a scripted router inside the layer, and of the whole stack with the real router.
 
 mod common;
 
@@ -41,11 +41,11 @@
     Arc::new(parse("p", text, &context).unwrap_or_else(|p| panic!("{p:?}")))
 }
 
-/// Decides by rote: a read goes to server 0, after a failure to the next one, after a miss to the origin; writes
-/// go to the origin and are not repeated. Six attempts at most. It answers when its time is over.
+/// A router with fixed decisions: reads go to server 0, after a failure to the next server and after a miss to the
+/// origin. Writes start at the origin. A request has up to six attempts and fails at its deadline.
 #[derive(Default)]
 struct ScriptedRouter {
-    /// Sends so far, attempts out, whether it is over.
+    /// Attempts sent, attempts in flight, and whether the request is finished.
     requests: BTreeMap<RequestId, (u32, u32, bool)>,
     attempt_ends: Vec<String>,
 }
@@ -61,7 +61,7 @@
             }
             Event::AttemptEnded { id, attempt, outcome, last, .. } => {
                 self.attempt_ends.push(format!("{id}.{attempt} {outcome:?}"));
-                let request = self.requests.get_mut(&id).expect("an attempt of something held");
+                let request = self.requests.get_mut(&id).expect("attempt of a known request");
                 request.1 -= 1;
                 request.2 |= last;
                 if !request.2 && request.0 < 6 && outcome != Outcome::Cancelled {
@@ -81,7 +81,7 @@
                 }
             }
             Event::HedgeGranted(id) => {
-                let request = self.requests.get_mut(&id).expect("a copy of something held");
+                let request = self.requests.get_mut(&id).expect("hedged request of a known request");
                 (request.0, request.1) = (request.0 + 1, request.1 + 1);
                 actions.push(send(id, 1));
             }
@@ -94,7 +94,7 @@
     }
 }
 
-/// A layer round [`Rote`], and a host that does what it says.
+/// A host that drives a layer around [`ScriptedRouter`] and runs its timers.
 struct Host {
     limits: LimitsLayer<ScriptedRouter>,
     now: Micros,
@@ -142,7 +142,7 @@
         self.handle_event(Event::AttemptEnded { id, attempt, outcome, took: Some(took), last })
     }
 
-    /// Fires timers up to `until`; what came of them.
+    /// Fires the timers that are due by `until` and returns the resulting actions.
     fn run_timers_until(&mut self, until: Micros) -> Vec<Action> {
         let mut all = Vec::new();
         while let Some(i) =
@@ -197,9 +197,9 @@
     assert_eq!(
         (timeout_for(800 * MS), timeout_for(80 * MS)),
         (200 * MS, 20 * MS),
-        "a short wait has a short timetable"
+        "attempt timeouts shrink in proportion to a short deadline"
     );
-    // Other routes' attempts go on to the client's time.
+    // Attempts of other routes time out at the client's deadline.
     let mut host = Host::new(&text);
     assert_eq!(
         host.arrive(1, 2, S),
@@ -223,14 +223,14 @@
         "{READ_ROUTE}attempts = 2\nbreaker = {{ failures = 1.0, window = '3s', least = 1, open = '9s' }}\n"
     ));
     host.arrive(1, 0, 2 * S);
-    // Server 0's breaker opens; the next request is withheld from it and goes to server 1 as its first attempt.
+    // The breaker of server 0 opens, so the first attempt that the next request sends goes to server 1.
     assert_eq!(sent_servers(&host.end_attempt(1, 0, Outcome::Reset, MS)), [1]);
     assert_eq!(
         sent_servers(&host.end_attempt(1, 1, Outcome::Miss, MS)),
         [] as [u32; 0],
-        "both attempts are used up"
+        "both attempts have been sent"
     );
-    // Told that the rest was never sent, it goes on until it has no more to ask for, and answers.
+    // The router receives NotSent for every further attempt until it gives up.
     assert_eq!(
         host.take_attempt_ends(),
         ["1.0 Reset", "1.1 Miss", "1.2 NotSent", "1.3 NotSent", "1.4 NotSent", "1.5 NotSent"]
@@ -238,7 +238,11 @@
     let actions = host.arrive(2, 0, 2 * S);
     assert_eq!(sent_servers(&actions), [1]);
     host.end_attempt(2, 0, Outcome::Ok, MS);
-    assert_eq!(host.take_attempt_ends(), ["2.0 NotSent", "2.1 Ok"], "within, it is the second attempt");
+    assert_eq!(
+        host.take_attempt_ends(),
+        ["2.0 NotSent", "2.1 Ok"],
+        "the router counts it as the second attempt"
+    );
     assert_eq!(host.limits.leaked_state(), None);
 }
 
@@ -254,16 +258,16 @@
     assert_eq!(
         sent_servers(&host.run_timers_until(101 * MS)),
         [] as [u32; 0],
-        "twice as long, but no longer than the most"
+        "the delay doubles up to its maximum"
     );
     assert_eq!(sent_servers(&host.run_timers_until(102 * MS)), [2]);
     assert_eq!(
         sent_servers(&host.end_attempt(1, 2, Outcome::Miss, MS)),
         [ORIGIN],
-        "a fetch for a miss is no repeat"
+        "a fetch after a miss is not a retry"
     );
     host.end_attempt(1, 3, Outcome::Ok, MS);
-    // Drained while it was held back; the request answered while it was.
+    // The server starts draining during the backoff; in the next case the client leaves during the backoff.
     host.arrive(2, 0, 2 * S);
     host.end_attempt(2, 0, Outcome::Reset, MS);
     let drained = Endpoint { state: ServerState::Draining, ..endpoint(1, 0) };
@@ -271,14 +275,14 @@
     assert_eq!(
         sent_servers(&host.run_timers_until(host.now + 200 * MS)),
         [2],
-        "the next one, after a wait of its own"
+        "the next server, after another backoff"
     );
     host.end_attempt(2, 1, Outcome::Ok, MS);
     host.arrive(3, 0, 2 * S);
     host.end_attempt(3, 0, Outcome::Reset, MS);
     host.handle_event(Event::ClientLeft(3));
     assert_eq!(sent_servers(&host.run_timers_until(host.now + 3 * S)), [] as [u32; 0]);
-    // One whose wait would outlast the client is not begun.
+    // A retry whose backoff ends after the deadline is withheld.
     host.arrive(4, 0, 30 * MS);
     let actions = host.end_attempt(4, 0, Outcome::Reset, MS);
     assert!(rejection_retry_after(&actions).is_some(), "{actions:?}");
@@ -294,18 +298,18 @@
         let mut sent = 0;
         for id in ids {
             host.arrive(id, class, 2 * S);
-            // A write that was turned away never ran: it may be sent again whatever its class.
+            // A rejected attempt never ran, so it may be retried in any class.
             sent += sent_servers(&host.end_attempt(id, 0, Outcome::Rejected, MS)).len();
         }
         sent
     };
-    // 100 requests bring ten tokens, of which five are left to others.
+    // 100 requests add ten tokens, of which five are reserved for other routes.
     let reads = retries(&mut host, 1..101, 0);
     assert!((4..=5).contains(&reads), "{reads}");
     let writes = retries(&mut host, 200..210, 2);
-    assert!((5..=6).contains(&writes), "{writes}: what reads had to leave");
+    assert!((5..=6).contains(&writes), "{writes}: the tokens that reads had to leave");
     assert!(host.limits.metrics().budget_exhausted > 90);
-    // Misses are no repeats, whatever the budget.
+    // A fetch after a miss is not a retry and needs no token.
     host.arrive(300, 0, 2 * S);
     assert_eq!(sent_servers(&host.end_attempt(300, 0, Outcome::Miss, MS)), [ORIGIN]);
 }
@@ -322,7 +326,7 @@
         host.arrive(n + 1, 0, 2 * S);
         sent += sent_servers(&host.end_attempt(n + 1, 0, Outcome::Reset, 0)).len();
     }
-    // Five saved up at the start, and 20 in 40 seconds; what a repeat that fails asks for again is one more.
+    // Five tokens at the start, 20 more in 40 seconds, and a margin of one.
     assert!((20..=26).contains(&sent), "{sent}");
 }
 
@@ -333,7 +337,7 @@
     assert_eq!(
         sent_servers(&host.end_attempt(1, 0, Outcome::Rejected, MS)),
         [1],
-        "turned away, it never ran"
+        "a rejected attempt never ran"
     );
     let actions = host.end_attempt(1, 1, Outcome::Error, MS);
     assert!(sent_servers(&actions).is_empty() && rejection_retry_after(&actions).is_some(), "{actions:?}");
@@ -348,10 +352,10 @@
     };
     assert_eq!(admitted(&mut host, 1..6), [1, 2, 3]);
     assert_eq!(rejection_retry_after(&host.arrive(9, 0, 2 * S)), Some(70 * MS));
-    assert_eq!(sent_servers(&host.arrive(10, 2, 2 * S)), [ORIGIN], "another route has room of its own");
+    assert_eq!(sent_servers(&host.arrive(10, 2, 2 * S)), [ORIGIN], "another route has a separate limit");
     host.limits.reload(policy(&limit(1)), host.now);
     host.end_attempt(1, 0, Outcome::Ok, MS);
-    assert_eq!(admitted(&mut host, 11..13), [] as [u64; 0], "two are still out");
+    assert_eq!(admitted(&mut host, 11..13), [] as [u64; 0], "two requests are still in flight");
     host.end_attempt(2, 0, Outcome::Ok, MS);
     host.end_attempt(3, 0, Outcome::Ok, MS);
     assert_eq!(admitted(&mut host, 13..16), [13]);
@@ -371,13 +375,13 @@
     assert_eq!(host.limits.metrics().requests_shed, 30);
 }
 
-/// Finding 7: what the layer itself turned away was told no time to come back, unless the file named one.
+/// Guards against rejections by the layer that have no Retry-After when the file does not set one.
 #[test]
 fn rejection_carries_a_bounded_retry_after() {
     let mut host = Host::new(&format!("room = 1\n{READ_ROUTE}"));
     assert_eq!(rejection_retry_after(&host.arrive(1, 0, 2 * S)), None);
     assert!(rejection_retry_after(&host.arrive(2, 0, 2 * S)).is_some_and(|after| (MS..=S).contains(&after)));
-    // Once it is known how long a request takes, that is what room takes to come back.
+    // Once the route has a latency estimate, Retry-After follows it.
     host.end_attempt(1, 0, Outcome::Ok, 20 * MS);
     for id in 10..100 {
         host.arrive(id, 0, 2 * S);
@@ -391,7 +395,7 @@
 #[test]
 fn adaptive_limit_falls_when_latency_rises_and_recovers() {
     let mut host = Host::new(&format!("{READ_ROUTE}concurrency = {{ least = 4, most = 100 }}\n"));
-    // As many as it lets in are in flight at a time; each round takes `took`.
+    // Sends requests until one is rejected, then ends them all `took` later. Returns how many were admitted.
     let mut id = 0;
     let mut round = |host: &mut Host, took: Micros| {
         let first = id + 1;
@@ -426,12 +430,12 @@
         host.end_attempt(id, 1, Outcome::Ok, MS);
     }
     assert_eq!(host.limits.breaker_openings(), 1);
-    assert_eq!(sent_servers(&host.arrive(5, 0, 60 * S)), [1], "server 0 is left alone");
+    assert_eq!(sent_servers(&host.arrive(5, 0, 60 * S)), [1], "the open breaker excludes server 0");
     host.end_attempt(5, 0, Outcome::Ok, MS);
-    // 100 proxies try again within 1 s and 4 s more, each at its own time, and one request at a time.
+    // The breaker stays open for 1 s plus up to 4 s (40 ms for each of 100 proxies), then admits one probe at a time.
     host.now += 5 * S;
-    assert_eq!(sent_servers(&host.arrive(6, 0, 60 * S)), [0], "a trial");
-    assert_eq!(sent_servers(&host.arrive(7, 0, 60 * S)), [1], "no second one beside it");
+    assert_eq!(sent_servers(&host.arrive(6, 0, 60 * S)), [0], "a probe");
+    assert_eq!(sent_servers(&host.arrive(7, 0, 60 * S)), [1], "only one probe at a time");
     host.end_attempt(6, 0, Outcome::Ok, MS);
     assert_eq!(sent_servers(&host.arrive(8, 0, 60 * S)), [0]);
     host.end_attempt(8, 0, Outcome::Ok, MS);
@@ -439,7 +443,7 @@
         (sent_servers(&host.arrive(9, 0, 60 * S)), sent_servers(&host.arrive(10, 0, 60 * S))),
         (vec![0], vec![0])
     );
-    // A reload keeps it; a trial that fails opens it again; a new start of the server closes it.
+    // A reload keeps the breaker's state, a failed probe reopens it, and a restart of the server closes it.
     for id in 11..=14 {
         host.arrive(id, 0, 60 * S);
         host.end_attempt(id, 0, Outcome::ConnectFailed, MS);
@@ -449,14 +453,14 @@
     assert_eq!(sent_servers(&host.arrive(20, 0, 60 * S)), [0]);
     host.limits.reload(policy(&format!("{READ_ROUTE}attempts = 2\n{BREAKER_SETTINGS}")), host.now);
     host.end_attempt(20, 0, Outcome::ConnectFailed, MS);
-    assert_eq!(host.limits.breaker_openings(), 3, "reloaded in the middle of a trial");
+    assert_eq!(host.limits.breaker_openings(), 3, "the probe that was in flight during the reload failed");
     assert_eq!(sent_servers(&host.arrive(21, 0, 60 * S)), [1]);
     let started = host.now;
     host.handle_event(Event::EndpointUpdate(&[endpoint(0, started)]));
     assert_eq!(sent_servers(&host.arrive(22, 0, 60 * S)), [0]);
 }
 
-/// Guards the fourth rule: breakers that opened together must not all try at once.
+/// Proxies whose breakers opened together must not all probe the server at the same time (rule 4).
 #[test]
 fn probes_of_100_proxies_are_spread_over_time() {
     let mut probe_times: Vec<Micros> = (0..100u64)
@@ -505,12 +509,12 @@
     assert_eq!(
         sent_servers(&host.run_timers_until(start + 7 * MS)),
         [] as [u32; 0],
-        "nine in ten take up to 9 ms"
+        "90% of requests take up to 9 ms"
     );
     let hedged = sent_servers(&host.run_timers_until(start + 12 * MS));
     assert!((10..=20).contains(&hedged.len()) && hedged.iter().all(|s| *s == 1), "{hedged:?}");
     assert_eq!(host.limits.metrics().hedges, hedged.len() as u64);
-    // Reloaded in the middle of a copy: it ends as it began.
+    // Hedged requests in flight during a reload still end normally.
     host.limits.reload(policy(&format!("{READ_ROUTE}copies = 'never'\n")), host.now);
     first.iter().for_each(|id| drop(host.end_attempt(*id, 0, Outcome::Ok, 0)));
     let has_hedge_in_flight = |id: &&u64| host.router().requests[*id].1 == 1;
@@ -526,7 +530,7 @@
         });
     }
     assert_eq!(host.limits.leaked_state(), None);
-    // Writes and classes that must not run twice never have one.
+    // A write in a class that must not run twice is not hedged.
     host.limits.reload(policy("[default]\ncopies = 'never'\n"), host.now);
     host.arrive(5_000, 2, 2 * S);
     assert_eq!(host.run_timers_until(host.now + S), []);
@@ -537,7 +541,7 @@
     let text = |attempts| format!("{READ_ROUTE}attempts = {attempts}\nattempt = '300ms'\n");
     let mut host = Host::new(&text(3));
     host.arrive(1, 0, 2 * S);
-    // Ten reloads a second, for a while.
+    // Reload repeatedly while the request is open.
     for n in 0..20 {
         host.now += 100 * MS / 20;
         host.limits.reload(policy(&text(2 + n % 2)), host.now);
@@ -546,7 +550,7 @@
     assert_eq!(
         sent_servers(&host.end_attempt(1, 1, Outcome::Reset, MS)),
         [2],
-        "three attempts, as when it began"
+        "the maximum of three attempts at its arrival still applies"
     );
     host.limits.reload(policy(&text(2)), host.now);
     host.arrive(2, 0, 2 * S);
@@ -554,7 +558,7 @@
     assert_eq!(sent_servers(&host.end_attempt(2, 1, Outcome::Reset, MS)), [] as [u32; 0]);
 }
 
-/// With no file the stack is the module, action for action; with a file that limits nothing, too.
+/// An empty policy must yield exactly the same actions as no policy.
 #[test]
 fn empty_policy_behaves_like_the_router_alone() {
     let run = |policy: Option<Arc<Policy>>| {
@@ -608,11 +612,11 @@
     assert_eq!(Decide::group(&router, b"sheet/1"), 0);
 }
 
-/// Guards the fourth rule: random files on random days pushed a cold worker over, all others being left alone.
+/// Open breakers must not shift all load to a cold backend by excluding the other servers (rule 4).
 #[test]
 fn open_breakers_are_capped_at_a_share_of_serving_servers() {
     let mut host = Host::new(&format!("{READ_ROUTE}{BREAKER_SETTINGS}"));
-    // Whatever is asked fails: ten workers and the origin serve, four of these may be left alone.
+    // Every attempt fails. Ten backends and the origin serve, so at most four breakers may be open.
     for id in 1..=300 {
         let mut sent = sent_servers(&host.arrive(id, 0, 60 * S)).len() as u32;
         let mut n = 0;
@@ -624,7 +628,7 @@
     assert_eq!(host.limits.breaker_openings(), 4);
 }
 
-/// Sends a read to server 0, retries a failure there, and cancels that retry when the client is told to be late.
+/// A router that sends reads to server 0, retries a reset there and cancels that retry on [`Event::AnswerNow`].
 #[derive(Default)]
 struct CancellingRouter {
     attempts: u32,
@@ -648,7 +652,7 @@
     }
 }
 
-/// A probe that is cancelled while a backoff delays it was never sent: the breaker may send another one.
+/// A probe that is cancelled during its backoff was never sent, so the breaker must admit another one.
 #[test]
 fn cancelling_a_delayed_probe_allows_the_next_probe() {
     let text = format!(
@@ -676,14 +680,18 @@
     let reset_attempt =
         |id, attempt| Event::AttemptEnded { id, attempt, outcome: Outcome::Reset, took: None, last: false };
     handle_event(0, Event::EndpointList(&[endpoint(0, 0), endpoint(1, 0), endpoint(2, 0)]));
-    // The second request is out when the first one's failure opens the breaker. Its own retry comes after that is
-    // over, and is the probe, which a backoff delays.
+    // Request 2 is in flight when the failure of request 1 opens the breaker. The retry of request 2 comes after the
+    // open duration and becomes the probe, which is delayed by backoff.
     assert_eq!(sent_servers(&handle_event(0, arrive(2, 60 * S))), [0]);
     assert_eq!(sent_servers(&handle_event(0, arrive(1, 60 * S))), [0]);
     assert_eq!(sent_servers(&handle_event(MS, reset_attempt(1, 0))), [] as [u32; 0], "the breaker is open");
     let delayed = handle_event(S, reset_attempt(2, 0));
     assert!(matches!(delayed[..], [Action::Timer { .. }]), "{delayed:?}");
-    assert_eq!(sent_servers(&handle_event(S, arrive(3, 60 * S))), [] as [u32; 0], "its probe is delayed");
+    assert_eq!(
+        sent_servers(&handle_event(S, arrive(3, 60 * S))),
+        [] as [u32; 0],
+        "the delayed probe blocks others"
+    );
     handle_event(S, Event::AnswerNow(2));
     assert_eq!(sent_servers(&handle_event(S, arrive(4, 60 * S))), [0], "another probe");
 }
--- a/limits/tests/policy_fixture.rs
+++ b/limits/tests/policy_fixture.rs
@@ -1,4 +1,4 @@
-//! Whole policy files and the typed policies that they decode to: a change of the code may not change either.
+//! Complete policy files and the exact policies that they decode to.
 
 mod common;
 
--- a/limits/tests/text_position.rs
+++ b/limits/tests/text_position.rs
@@ -1,4 +1,4 @@
-//! Lines and columns of bytes of a text.
+//! Conversion of byte offsets to lines and columns.
 
 use notchdoor_limits::text_position::{line_at, TextPosition};
 
@@ -9,7 +9,7 @@
         (0, 1, 1, "ab"),
         (2, 1, 3, "ab"),
         (3, 2, 1, "é = 1"),
-        (4, 2, 1, "é = 1"), // Within the two bytes of the letter.
+        (4, 2, 1, "é = 1"), // Second byte of the letter.
         (5, 2, 2, "é = 1"),
         (10, 3, 1, ""),
         (11, 4, 1, "last"),
