--- a/limits/src/layer/endpoints.rs
+++ b/limits/src/layer/endpoints.rs
@@ -44,13 +44,13 @@
         if is_full_list {
             self.known.values_mut().for_each(|endpoint| endpoint.serving = false);
         }
-        let mut update = EndpointChanges::default();
+        let mut changes = EndpointChanges::default();
         for endpoint in endpoints {
             let serving = endpoint.state == ServerState::Serving;
             let entry = KnownEndpoint { serving, started_at: endpoint.started_at };
             let previous = self.known.insert(endpoint.server, entry);
             if previous.is_some_and(|previous| previous.started_at != endpoint.started_at) {
-                update.restarted.push(endpoint.server);
+                changes.restarted.push(endpoint.server);
             }
         }
         self.serving = self.known.values().filter(|endpoint| endpoint.serving).count();
@@ -59,8 +59,8 @@
             self.known.iter().filter(|(_, endpoint)| !endpoint.serving).map(|(server, _)| *server).collect();
         if not_serving.len() > self.known.len() / 2 + GONE_ENDPOINT_MARGIN {
             self.known.retain(|_, endpoint| endpoint.serving);
-            update.removed = not_serving;
+            changes.removed = not_serving;
         }
-        update
+        changes
     }
 }
--- a/limits/src/layer/mod.rs
+++ b/limits/src/layer/mod.rs
@@ -188,15 +188,15 @@
 
     /// Applies an endpoint list or update. Resets the breakers of restarted servers and drops those of removed ones.
     fn on_endpoints(&mut self, endpoints: &[Endpoint], is_full_list: bool) {
-        let update = self.endpoints.update(endpoints, is_full_list);
+        let changes = self.endpoints.update(endpoints, is_full_list);
         for route in &self.routes {
             let mut state = route.state.borrow_mut();
-            for server in &update.restarted {
+            for server in &changes.restarted {
                 if let Some(breaker) = state.breakers.get_mut(server) {
                     breaker.reset();
                 }
             }
-            for server in &update.removed {
+            for server in &changes.removed {
                 state.breakers.remove(server);
             }
         }
--- a/limits/src/layer/request.rs
+++ b/limits/src/layer/request.rs
@@ -74,8 +74,8 @@
         if retry && self.may_have_run_since.is_some() && limits.retry == RetryRule::Never {
             return Err(WithholdReason::FutileRetry);
         }
-        let attempt = limits.attempt_timeout.map_or(0.0, |timeout| timeout as f64 * self.time_scale);
-        if retry && (now as f64 + MIN_RETRY_TIME_SHARE * attempt) >= self.deadline as f64 {
+        let attempt_timeout = limits.attempt_timeout.map_or(0.0, |timeout| timeout as f64 * self.time_scale);
+        if retry && (now as f64 + MIN_RETRY_TIME_SHARE * attempt_timeout) >= self.deadline as f64 {
             return Err(WithholdReason::FutileRetry);
         }
         if self.is_hedge() && limits.hedging != Hedging::RouterDefault && !self.hedge_granted {
--- a/limits/src/policy.rs
+++ b/limits/src/policy.rs
@@ -152,8 +152,8 @@
     /// Maximum duration of all attempts and the delays between them, or `None` without an attempt timeout.
     pub fn worst_case_duration(&self, default_max_attempts: u32) -> Option<Micros> {
         let attempts = self.max_attempts.unwrap_or(default_max_attempts);
-        let waits: Micros = (1..attempts).map(|n| self.backoff.map_or(0, |b| b.max_delay(n))).sum();
-        Some(self.attempt_timeout?.saturating_mul(u64::from(attempts)).saturating_add(waits))
+        let total_backoff: Micros = (1..attempts).map(|n| self.backoff.map_or(0, |b| b.max_delay(n))).sum();
+        Some(self.attempt_timeout?.saturating_mul(u64::from(attempts)).saturating_add(total_backoff))
     }
 }
 
--- a/limits/src/policy_file/mod.rs
+++ b/limits/src/policy_file/mod.rs
@@ -41,9 +41,9 @@
 /// Parses and validates a policy file. `file` is its name for messages. On failure, returns all errors in file order.
 pub fn parse(file: &str, text: &str, context: &PolicyContext) -> Result<Policy, Vec<PolicyError>> {
     let mut reader = Reader::new(file, text);
-    let whole_file = || "file".to_owned();
+    let file_field = || "file".to_owned();
     if text.len() > MAX_FILE_BYTES {
-        reader.report(&(0..0), whole_file(), format!("larger than the maximum of {MAX_FILE_BYTES} bytes"));
+        reader.report(&(0..0), file_field(), format!("larger than the maximum of {MAX_FILE_BYTES} bytes"));
         return Err(reader.into_errors());
     }
     match Document::parse(text) {
@@ -60,7 +60,7 @@
         Err(error) => {
             let span = error.span().unwrap_or(0..0);
             let message = format!("invalid TOML: {}", error.message().replace('\n', "; "));
-            reader.report(&span, whole_file(), message);
+            reader.report(&span, file_field(), message);
             Err(reader.into_errors())
         }
     }
--- a/limits/src/policy_file/reader.rs
+++ b/limits/src/policy_file/reader.rs
@@ -135,8 +135,8 @@
             }
         };
         if !range.contains(&duration) {
-            let [given, least, most] = [duration, *range.start(), *range.end()].map(format_duration);
-            let message = format!("{given} is out of range; {least} to {most} is allowed");
+            let [value, min, max] = [duration, *range.start(), *range.end()].map(format_duration);
+            let message = format!("{value} is out of range; {min} to {max} is allowed");
             self.report_value(section, key, message);
             return None;
         }
@@ -180,11 +180,11 @@
             self.report_value(section, key, format!("expected an integer from {allowed}"));
             return None;
         };
-        let within = u32::try_from(number).ok().filter(|number| range.contains(number));
-        if within.is_none() {
+        let in_range = u32::try_from(number).ok().filter(|number| range.contains(number));
+        if in_range.is_none() {
             self.report_value(section, key, format!("{number} is out of range; {allowed} is allowed"));
         }
-        within
+        in_range
     }
 
     pub(super) fn string(&mut self, section: &Section<'_>, key: &str) -> Option<String> {
@@ -250,7 +250,7 @@
 /// Error message for an unknown name. Suggests the closest known name, or else lists all of them.
 fn unknown_name_message(kind: &str, name: &str, known: &[&str]) -> String {
     match nearest(name, known) {
-        Some(near) => format!("unknown {kind} '{name}'; did you mean '{near}'?"),
+        Some(suggestion) => format!("unknown {kind} '{name}'; did you mean '{suggestion}'?"),
         None if known.is_empty() => format!("unknown {kind} '{name}'; none is defined"),
         None => format!("unknown {kind} '{name}'; expected one of {}", known.join(", ")),
     }
--- a/limits/src/policy_file/route_limits.rs
+++ b/limits/src/policy_file/route_limits.rs
@@ -84,8 +84,8 @@
     ) {
         if self.section.is_none(key) {
             *limit = None;
-        } else if let Some(given) = read(self) {
-            *limit = Some(given);
+        } else if let Some(value) = read(self) {
+            *limit = Some(value);
         }
     }
 
--- a/limits/src/policy_file/rules.rs
+++ b/limits/src/policy_file/rules.rs
@@ -54,9 +54,9 @@
         !self.covered_by_earlier(index, &RouteMatch { class: Some(class), ..matcher.clone() })
     }
 
-    /// Whether one earlier route matches every request that `wanted` matches.
-    fn covered_by_earlier(&self, index: usize, wanted: &RouteMatch) -> bool {
-        self.routes[..index].iter().any(|earlier| earlier.route.matcher.covers(wanted))
+    /// Whether one earlier route matches every request that `matcher` matches.
+    fn covered_by_earlier(&self, index: usize, matcher: &RouteMatch) -> bool {
+        self.routes[..index].iter().any(|earlier| earlier.route.matcher.covers(matcher))
     }
 
     fn check_reachable(&self, reader: &mut Reader<'_>, index: usize) {
@@ -66,18 +66,18 @@
         }
         let entry = &self.routes[index];
         let matcher = &entry.route.matcher;
-        let same = self.routes[..index].iter().find(|earlier| earlier.route.matcher == *matcher);
-        if let Some(same) = same {
-            let name = &same.route.name;
+        let duplicate = self.routes[..index].iter().find(|earlier| earlier.route.matcher == *matcher);
+        if let Some(duplicate) = duplicate {
+            let name = &duplicate.route.name;
             let message = format!(
                 "matches the same requests as route '{name}' and is never used; merge the two routes"
             );
             return self.report(reader, entry, "name", &message);
         }
         // Two earlier routes, one for reads and one for writes, can cover this route together.
-        let half = |write| RouteMatch { write: Some(write), ..matcher.clone() };
+        let with_access = |write| RouteMatch { write: Some(write), ..matcher.clone() };
         let both_covered =
-            || [true, false].into_iter().all(|write| self.covered_by_earlier(index, &half(write)));
+            || [true, false].into_iter().all(|write| self.covered_by_earlier(index, &with_access(write)));
         if matcher.write.is_none() && both_covered() {
             let message =
                 "is never used: earlier routes for reads and for writes match all of its requests; remove it";
@@ -166,18 +166,18 @@
             return;
         }
         let name = self.class_name;
-        let never = "set copies = \"never\"";
+        let advice = "set copies = \"never\"";
         let message = match self.class.effect {
             Effect::AtMostOnce => format!(
-                "hedged requests are not allowed for class '{name}', which must not run twice (rule 2); {never} in a \
+                "hedged requests are not allowed for class '{name}', which must not run twice (rule 2); {advice} in a \
                  route for it"
             ),
             Effect::Deduplicated { scope, .. } if scope != Scope::All => format!(
                 "hedged requests are not allowed for class '{name}', whose repeats are dropped only within one zone or \
-                 cell (rule 2); {never} in a route for it"
+                 cell (rule 2); {advice} in a route for it"
             ),
             _ if !self.settings.hedging => {
-                format!("the settings disable hedged requests; {never}")
+                format!("the settings disable hedged requests; {advice}")
             }
             _ => return,
         };
@@ -197,14 +197,14 @@
             return self.check_worst_case(reader, total_backoff);
         }
         if total_backoff >= self.time_limit {
-            let longest_wait = self.time_limit / u64::from(self.max_attempts) / 2;
+            let suggested = self.time_limit / u64::from(self.max_attempts) / 2;
             let message = format!(
                 "the delays before the retries of class '{}' alone add up to {}, but its requests time out after {} \
                  (rule 1); use most = \"{}\"",
                 self.class_name,
                 format_duration(total_backoff),
                 format_duration(self.time_limit),
-                format_duration(longest_wait)
+                format_duration(suggested)
             );
             self.report(reader, "backoff", &message);
         }
--- a/limits/src/policy_file/sections.rs
+++ b/limits/src/policy_file/sections.rs
@@ -94,17 +94,17 @@
         let settings = &self.context.settings;
         let proxies = f64::from(settings.proxies.max(1));
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-        let max_floors = MAX_TOTAL_FLOOR_QUOTA_SHARE * quotas / proxies;
-        let floors = sum.tokens_per_s;
-        if quotas <= 0.0 || floors <= max_floors {
+        let max_total_floor = MAX_TOTAL_FLOOR_QUOTA_SHARE * quotas / proxies;
+        let total_floor = sum.tokens_per_s;
+        if quotas <= 0.0 || total_floor <= max_total_floor {
             return;
         }
-        let fleet = floors * proxies;
-        let suggested = (max_floors - (floors - current.tokens_per_s)).max(0.0);
+        let fleet_rate = total_floor * proxies;
+        let suggested = (max_total_floor - (total_floor - current.tokens_per_s)).max(0.0);
         let message = format!(
-            "the floors of all budgets allow {fleet:.1} additional attempts per second over {proxies} proxies, which is \
-             more than a tenth of the {quotas:.0} requests per second that the tenants' quotas allow (rule 4); use at \
-             most {suggested:.2} here"
+            "the floors of all budgets allow {fleet_rate:.1} additional attempts per second over {proxies} proxies, which \
+             is more than a tenth of the {quotas:.0} requests per second that the tenants' quotas allow (rule 4); use \
+             at most {suggested:.2} here"
         );
         self.reader.report_value(table, "floor_per_s", message);
     }
@@ -210,6 +210,6 @@
 }
 
 fn field_spans(section: &Section<'_>) -> Vec<FieldSpan> {
-    let given = LIMIT_KEYS.iter().chain(&ROUTE_KEYS).filter(|key| section.has(key));
-    given.map(|key| FieldSpan { key, span: section.span(key) }).collect()
+    let keys = LIMIT_KEYS.iter().chain(&ROUTE_KEYS).filter(|key| section.has(key));
+    keys.map(|key| FieldSpan { key, span: section.span(key) }).collect()
 }
--- a/limits/tests/layer.rs
+++ b/limits/tests/layer.rs
@@ -45,44 +45,57 @@
 /// origin. Writes start at the origin. A request has up to six attempts and fails at its deadline.
 #[derive(Default)]
 struct ScriptedRouter {
-    /// Attempts sent, attempts in flight, and whether the request is finished.
-    requests: BTreeMap<RequestId, (u32, u32, bool)>,
+    requests: BTreeMap<RequestId, ScriptedRequest>,
     attempt_ends: Vec<String>,
 }
 
+struct ScriptedRequest {
+    attempts_sent: u32,
+    attempts_in_flight: u32,
+    finished: bool,
+}
+
+impl ScriptedRequest {
+    fn count_attempt(&mut self) {
+        self.attempts_sent += 1;
+        self.attempts_in_flight += 1;
+    }
+}
+
 impl Decide for ScriptedRouter {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let send = |id, server| Action::Send { id, server, give_up_at: 0, begin_by: Micros::MAX };
         match event {
             Event::Arrived(r) => {
-                self.requests.insert(r.id, (1, 1, false));
+                let request = ScriptedRequest { attempts_sent: 1, attempts_in_flight: 1, finished: false };
+                self.requests.insert(r.id, request);
                 actions.push(Action::Timer { after: r.deadline - now, token: r.id << 3 | DEADLINE_TIMER });
                 actions.push(send(r.id, if r.write { ORIGIN } else { 0 }));
             }
             Event::AttemptEnded { id, attempt, outcome, last, .. } => {
                 self.attempt_ends.push(format!("{id}.{attempt} {outcome:?}"));
                 let request = self.requests.get_mut(&id).expect("attempt of a known request");
-                request.1 -= 1;
-                request.2 |= last;
-                if !request.2 && request.0 < 6 && outcome != Outcome::Cancelled {
-                    let server = if outcome == Outcome::Miss { ORIGIN } else { request.0 };
-                    (request.0, request.1) = (request.0 + 1, request.1 + 1);
+                request.attempts_in_flight -= 1;
+                request.finished |= last;
+                if !request.finished && request.attempts_sent < 6 && outcome != Outcome::Cancelled {
+                    let server = if outcome == Outcome::Miss { ORIGIN } else { request.attempts_sent };
+                    request.count_attempt();
                     actions.push(send(id, server));
-                } else if !request.2 && request.1 == 0 {
-                    request.2 = true;
+                } else if !request.finished && request.attempts_in_flight == 0 {
+                    request.finished = true;
                     actions.push(Action::Reject { id, retry_after: 5 * MS });
                 }
             }
             Event::Timer(token) => {
                 let id = token >> 3;
-                if let Some(request) = self.requests.get_mut(&id).filter(|h| !h.2) {
-                    request.2 = true;
+                if let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) {
+                    request.finished = true;
                     actions.push(Action::Fail { id });
                 }
             }
             Event::HedgeGranted(id) => {
                 let request = self.requests.get_mut(&id).expect("hedged request of a known request");
-                (request.0, request.1) = (request.0 + 1, request.1 + 1);
+                request.count_attempt();
                 actions.push(send(id, 1));
             }
             _ => {}
@@ -123,7 +136,7 @@
         rest
     }
 
-    fn arrive(&mut self, id: RequestId, class: u32, wait: Micros) -> Vec<Action> {
+    fn arrive(&mut self, id: RequestId, class: u32, client_timeout: Micros) -> Vec<Action> {
         let request = Request {
             id,
             class: Some(class),
@@ -131,7 +144,7 @@
             key: Some(id),
             group: 0,
             write: class > 0,
-            deadline: self.now + wait,
+            deadline: self.now + client_timeout,
         };
         self.handle_event(Event::Arrived(request))
     }
@@ -186,9 +199,9 @@
 #[test]
 fn attempt_timeout_applies_and_shrinks_with_the_client_deadline() {
     let text = format!("{READ_ROUTE}attempt = '400ms'\nattempts = 3\ntotal = '1600ms'\n");
-    let timeout_for = |wait: Micros| {
+    let timeout_for = |client_timeout: Micros| {
         let mut host = Host::new(&text);
-        match host.arrive(1, 0, wait)[..] {
+        match host.arrive(1, 0, client_timeout)[..] {
             [Action::Send { give_up_at, .. }] => give_up_at,
             ref other => panic!("{other:?}"),
         }
@@ -411,10 +424,10 @@
     };
     let baseline = (0..60).map(|_| round(&mut host, 20 * MS)).last().unwrap();
     let overloaded = (0..10).map(|_| round(&mut host, 200 * MS)).last().unwrap();
-    let after = (0..60).map(|_| round(&mut host, 20 * MS)).last().unwrap();
+    let recovered = (0..60).map(|_| round(&mut host, 20 * MS)).last().unwrap();
     assert!(
-        baseline > 60 && overloaded < baseline / 2 && overloaded >= 4 && after > 60,
-        "{baseline}, {overloaded}, {after}"
+        baseline > 60 && overloaded < baseline / 2 && overloaded >= 4 && recovered > 60,
+        "{baseline}, {overloaded}, {recovered}"
     );
 }
 
@@ -503,9 +516,9 @@
     }
     host.timers.clear();
     let start = host.now;
-    let first: Vec<u64> =
+    let ids: Vec<u64> =
         (1_000..1_100).filter(|id| sent_servers(&host.arrive(*id, 0, 2 * S)) == [0]).collect();
-    assert_eq!(first.len(), 100);
+    assert_eq!(ids.len(), 100);
     assert_eq!(
         sent_servers(&host.run_timers_until(start + 7 * MS)),
         [] as [u32; 0],
@@ -516,11 +529,11 @@
     assert_eq!(host.limits.metrics().hedges, hedged.len() as u64);
     // Hedged requests in flight during a reload still end normally.
     host.limits.reload(policy(&format!("{READ_ROUTE}copies = 'never'\n")), host.now);
-    first.iter().for_each(|id| drop(host.end_attempt(*id, 0, Outcome::Ok, 0)));
-    let has_hedge_in_flight = |id: &&u64| host.router().requests[*id].1 == 1;
-    let out: Vec<u64> = first.iter().filter(has_hedge_in_flight).copied().collect();
-    assert_eq!(out.len(), hedged.len());
-    for id in out {
+    ids.iter().for_each(|id| drop(host.end_attempt(*id, 0, Outcome::Ok, 0)));
+    let has_hedge_in_flight = |id: &&u64| host.router().requests[*id].attempts_in_flight == 1;
+    let hedged_ids: Vec<u64> = ids.iter().filter(has_hedge_in_flight).copied().collect();
+    assert_eq!(hedged_ids.len(), hedged.len());
+    for id in hedged_ids {
         host.handle_event(Event::AttemptEnded {
             id,
             attempt: 1,
@@ -564,14 +577,14 @@
     let run = |policy: Option<Arc<Policy>>| {
         let mut stack = Stack::new(settings(), policy, 5, 0);
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(9);
-        let (mut now, mut all, mut actions) = (0, Vec::new(), Vec::new());
+        let (mut now, mut all_actions, mut actions) = (0, Vec::new(), Vec::new());
         let endpoints: Vec<Endpoint> = (0..6).chain([ORIGIN]).map(|s| endpoint(s, 0)).collect();
         stack.handle(now, Event::EndpointList(&endpoints), &mut actions);
-        let mut out: Vec<(RequestId, u32)> = Vec::new();
+        let mut in_flight: Vec<(RequestId, u32)> = Vec::new();
         let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
         for n in 1..2_000u64 {
             now += rng.random_range(0..5 * MS);
-            let event = if out.is_empty() || rng.random::<f64>() < 0.5 {
+            let event = if in_flight.is_empty() || rng.random::<f64>() < 0.5 {
                 let class = rng.random_range(0..3);
                 Event::Arrived(Request {
                     id: n,
@@ -583,7 +596,7 @@
                     deadline: now + 2 * S,
                 })
             } else {
-                let (id, attempt) = out.swap_remove(rng.random_range(0..out.len()));
+                let (id, attempt) = in_flight.swap_remove(rng.random_range(0..in_flight.len()));
                 let outcomes =
                     [Outcome::Ok, Outcome::Miss, Outcome::Rejected, Outcome::Error, Outcome::Reset];
                 let outcome = outcomes[rng.random_range(0..5)];
@@ -594,16 +607,16 @@
             for action in actions.drain(..) {
                 if let Action::Send { id, .. } = action {
                     let n = sent.entry(id).or_default();
-                    out.push((id, *n));
+                    in_flight.push((id, *n));
                     *n += 1;
                 }
                 if let Action::Reject { id, .. } | Action::Fail { id } = action {
-                    out.retain(|(i, _)| *i != id);
+                    in_flight.retain(|(i, _)| *i != id);
                 }
-                all.push(action);
+                all_actions.push(action);
             }
         }
-        all
+        all_actions
     };
     let bare = run(None);
     assert!(bare.len() > 2_000);
