--- a/limits/src/circuit_breaker.rs
+++ b/limits/src/circuit_breaker.rs
@@ -1,57 +1,58 @@
-//! A circuit breaker for one server: it opens when too many of its latest attempts failed or were slow, and closes
-//! after probes that went well.
+//! A circuit breaker for one server: it opens when too many recent attempts failed or were slow, and closes after
+//! enough consecutive successful probes.
 
 use notchdoor::Micros;
 
-/// When a breaker opens, and for how long.
+/// Thresholds and durations of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CircuitBreakerConfig {
-    /// The share of failed attempts at which it opens.
+    /// Share of failed attempts at which the breaker opens.
     pub failure_ratio: f64,
-    /// The share of slow attempts at which it opens; over 1 for never.
+    /// Share of slow attempts at which the breaker opens. A value above 1 disables this condition.
     pub slow_ratio: f64,
-    /// An attempt that took longer is slow.
+    /// Attempts that take longer than this count as slow.
     pub slow_after: Micros,
-    /// The time over which shares are counted.
+    /// Length of the sliding window over which both shares are computed.
     pub window: Micros,
-    /// Attempts within the window before a share is believed.
+    /// Minimum number of attempts in the window before the breaker may open.
     pub min_attempts: u32,
-    /// How long it stays open, at the least.
-    pub open_for: Micros,
-    /// Good probes in a row that close it.
+    /// Minimum time for which the breaker stays open.
+    pub open_duration: Micros,
+    /// Consecutive successful probes that close a half-open breaker.
     pub probes_to_close: u32,
 }
 
-/// Whether an attempt may be sent.
+/// Decision on whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The attempt may be sent.
     Allowed,
-    /// It may, as a probe; its end has to be recorded as one, or the probe released.
+    /// The attempt may be sent as a probe. The caller must record its result with `probe` set, or call
+    /// [`CircuitBreaker::release_probe`].
     Probe,
-    /// It may not.
+    /// The attempt must not be sent.
     Rejected,
 }
 
-/// How an attempt ended, as a breaker counts it.
+/// Result of an attempt, as recorded by a breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptResult {
-    /// Whether it was let through as a probe.
+    /// Whether the attempt was admitted as a probe.
     pub probe: bool,
-    /// Whether it failed.
+    /// Whether the attempt failed.
     pub failed: bool,
-    /// How long it took.
-    pub took: Micros,
+    /// Duration of the attempt.
+    pub duration: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Closed,
     Open { until: Micros },
-    HalfOpen { probe_in_flight: bool, good_probes: u32 },
+    HalfOpen { probe_in_flight: bool, successful_probes: u32 },
 }
 
-/// A circuit breaker.
+/// A circuit breaker that is closed, open or half-open.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     config: CircuitBreakerConfig,
@@ -61,33 +62,34 @@
 }
 
 impl CircuitBreaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new(config: CircuitBreakerConfig) -> Self {
         CircuitBreaker { config, counts: SlidingWindow::default(), state: State::Closed, times_opened: 0 }
     }
 
-    /// Goes by other settings from now on; its state stays, and a probe in flight is still one.
+    /// Replaces the settings. The state is kept, including a probe in flight.
     pub fn reconfigure(&mut self, config: CircuitBreakerConfig) {
         self.config = config;
     }
 
-    /// Times that it opened.
+    /// Number of times the breaker has opened. It is kept across [`CircuitBreaker::reset`].
     pub fn times_opened(&self) -> u64 {
         self.times_opened
     }
 
-    /// Whether it lets everything through.
+    /// Whether the breaker is closed and admits every attempt.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Whether an attempt may be sent now. A probe is in flight from then on.
+    /// Decides whether an attempt may be sent now. After `Admission::Probe`, no other probe is admitted until this one
+    /// is recorded or released.
     pub fn try_acquire(&mut self, now: Micros) -> Admission {
         if let State::Open { until } = self.state {
             if now < until {
                 return Admission::Rejected;
             }
-            self.state = State::HalfOpen { probe_in_flight: false, good_probes: 0 };
+            self.state = State::HalfOpen { probe_in_flight: false, successful_probes: 0 };
         }
         match &mut self.state {
             State::Closed => Admission::Allowed,
@@ -99,67 +101,67 @@
         }
     }
 
-    /// An attempt has ended. `spread` is how much longer than its settings say the breaker stays open if this opens
-    /// it: hundreds of proxies whose breakers opened together must not probe a server that has just come back at one
-    /// moment. `None` if it must not open now.
-    pub fn record(&mut self, now: Micros, result: AttemptResult, spread: Option<Micros>) {
-        let slow = result.took > self.config.slow_after;
+    /// Records the result of an attempt. If the breaker opens, it stays open for `open_jitter` in addition to the
+    /// configured duration, so that proxies whose breakers opened together do not probe the server at the same time.
+    /// With `None`, a closed breaker stays closed.
+    pub fn record(&mut self, now: Micros, result: AttemptResult, open_jitter: Option<Micros>) {
+        let slow = result.duration > self.config.slow_after;
         if result.probe {
-            self.record_probe(now, result.failed || slow, spread);
+            self.record_probe(now, result.failed || slow, open_jitter);
         } else if self.is_closed() {
-            // What was sent before it opened says nothing that is not known.
+            // Results of non-probe attempts that arrive while the breaker is not closed are ignored.
             self.counts.add(now, self.config.window, result.failed, slow);
-            if let Some(spread) = spread.filter(|_| self.too_many_bad()) {
-                self.open(now, spread);
+            if let Some(open_jitter) = open_jitter.filter(|_| self.threshold_exceeded()) {
+                self.open(now, open_jitter);
             }
         }
     }
 
-    fn record_probe(&mut self, now: Micros, bad: bool, spread: Option<Micros>) {
-        let State::HalfOpen { good_probes, .. } = self.state else { return };
-        if bad {
-            // It was open before: no further server is left alone by that.
-            return self.open(now, spread.unwrap_or(0));
+    fn record_probe(&mut self, now: Micros, failed_or_slow: bool, open_jitter: Option<Micros>) {
+        let State::HalfOpen { successful_probes, .. } = self.state else { return };
+        if failed_or_slow {
+            // Reopens even if `open_jitter` is `None`, since the server was already excluded.
+            return self.open(now, open_jitter.unwrap_or(0));
         }
-        let good_probes = good_probes + 1;
-        if good_probes < self.config.probes_to_close {
-            self.state = State::HalfOpen { probe_in_flight: false, good_probes };
+        let successful_probes = successful_probes + 1;
+        if successful_probes < self.config.probes_to_close {
+            self.state = State::HalfOpen { probe_in_flight: false, successful_probes };
         } else {
             self.state = State::Closed;
             self.counts.clear();
         }
     }
 
-    /// A probe came to nothing: it was never sent, or called off.
+    /// Allows another probe after one that was not sent or was cancelled.
     pub fn release_probe(&mut self) {
         if let State::HalfOpen { probe_in_flight, .. } = &mut self.state {
             *probe_in_flight = false;
         }
     }
 
-    /// The server has started anew: what was learnt of the old process is void.
+    /// Closes the breaker and clears its counts because the server has restarted.
     pub fn reset(&mut self) {
         *self = CircuitBreaker { times_opened: self.times_opened, ..CircuitBreaker::new(self.config) };
     }
 
-    fn too_many_bad(&self) -> bool {
+    fn threshold_exceeded(&self) -> bool {
         let counts = self.counts.sum();
         let ratio = |part: u32| f64::from(part) / f64::from(counts.attempts.max(1));
-        let bad =
+        let exceeded =
             ratio(counts.failed) >= self.config.failure_ratio || ratio(counts.slow) >= self.config.slow_ratio;
-        bad && counts.attempts >= self.config.min_attempts.max(1)
+        exceeded && counts.attempts >= self.config.min_attempts.max(1)
     }
 
-    fn open(&mut self, now: Micros, spread: Micros) {
-        let until = now.saturating_add(self.config.open_for).saturating_add(spread);
+    fn open(&mut self, now: Micros, open_jitter: Micros) {
+        let until = now.saturating_add(self.config.open_duration).saturating_add(open_jitter);
         self.state = State::Open { until };
         self.times_opened += 1;
         self.counts.clear();
     }
 }
 
-/// A window is counted in so many steps, of which the oldest is forgotten at a time.
-const STEPS: u64 = 10;
+/// Number of buckets that the sliding window is divided into.
+const WINDOW_BUCKETS: u64 = 10;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptCounts {
@@ -168,45 +170,46 @@
     slow: u32,
 }
 
-/// Counts of the attempts of the latest window.
+/// Attempt counts over the sliding window, as a ring of buckets.
 #[derive(Clone, Debug, Default)]
 struct SlidingWindow {
-    steps: [AttemptCounts; STEPS as usize],
-    /// The latest step, counted from time zero.
-    latest: u64,
+    buckets: [AttemptCounts; WINDOW_BUCKETS as usize],
+    /// Number of the newest bucket, counted from time zero.
+    latest_bucket: u64,
 }
 
 impl SlidingWindow {
     fn add(&mut self, now: Micros, window: Micros, failed: bool, slow: bool) {
-        self.advance(now / (window / STEPS).max(1));
-        let step = &mut self.steps[(self.latest % STEPS) as usize];
-        step.attempts += 1;
-        step.failed += u32::from(failed);
-        step.slow += u32::from(slow);
+        self.advance(now / (window / WINDOW_BUCKETS).max(1));
+        let bucket = &mut self.buckets[(self.latest_bucket % WINDOW_BUCKETS) as usize];
+        bucket.attempts += 1;
+        bucket.failed += u32::from(failed);
+        bucket.slow += u32::from(slow);
     }
 
-    /// Forgets the steps that have left the window. A time before the latest one counts as that.
-    fn advance(&mut self, step: u64) {
-        let passed = step.saturating_sub(self.latest);
-        if passed >= STEPS {
+    /// Makes `bucket` the newest bucket and clears those that have left the window. An older bucket number is ignored.
+    fn advance(&mut self, bucket: u64) {
+        let elapsed = bucket.saturating_sub(self.latest_bucket);
+        if elapsed >= WINDOW_BUCKETS {
             self.clear();
         } else {
-            for ahead in 1..=passed {
-                self.steps[((self.latest + ahead) % STEPS) as usize] = AttemptCounts::default();
+            for offset in 1..=elapsed {
+                self.buckets[((self.latest_bucket + offset) % WINDOW_BUCKETS) as usize] =
+                    AttemptCounts::default();
             }
         }
-        self.latest = self.latest.max(step);
+        self.latest_bucket = self.latest_bucket.max(bucket);
     }
 
     fn clear(&mut self) {
-        self.steps = [AttemptCounts::default(); STEPS as usize];
+        self.buckets = [AttemptCounts::default(); WINDOW_BUCKETS as usize];
     }
 
     fn sum(&self) -> AttemptCounts {
-        self.steps.iter().fold(AttemptCounts::default(), |sum, step| AttemptCounts {
-            attempts: sum.attempts + step.attempts,
-            failed: sum.failed + step.failed,
-            slow: sum.slow + step.slow,
+        self.buckets.iter().fold(AttemptCounts::default(), |sum, bucket| AttemptCounts {
+            attempts: sum.attempts + bucket.attempts,
+            failed: sum.failed + bucket.failed,
+            slow: sum.slow + bucket.slow,
         })
     }
 }
--- a/limits/src/layer/endpoints.rs
+++ b/limits/src/layer/endpoints.rs
@@ -1,66 +1,66 @@
-//! The servers of the endpoint list, as far as the layer needs them.
+//! Tracks which servers of the endpoint list serve new requests and when they started.
 
 use notchdoor::{Endpoint, Micros, ServerId, ServerState};
 use rustc_hash::FxHashMap;
 
-/// Servers that are gone are forgotten once they are half of all and so many more.
-const MAX_GONE_BEYOND_HALF: usize = 64;
+/// Servers that no longer serve are removed once they exceed half of the known servers by this number.
+const GONE_ENDPOINT_MARGIN: usize = 64;
 
 struct KnownEndpoint {
     serving: bool,
     started_at: Micros,
 }
 
-/// Every server that was listed lately.
+/// Known servers, including recently listed ones that no longer serve.
 #[derive(Default)]
 pub(super) struct Endpoints {
     known: FxHashMap<ServerId, KnownEndpoint>,
-    /// How many of them take what is new.
+    /// Number of servers that accept new requests.
     serving: usize,
 }
 
-/// What a list says that circuit breakers have to know.
+/// Changes by an endpoint list or update that affect circuit breakers.
 #[derive(Default)]
-pub(super) struct ListUpdate {
-    /// Servers that have started anew.
+pub(super) struct EndpointChanges {
+    /// Servers whose start time changed.
     pub(super) restarted: Vec<ServerId>,
-    /// Servers that are forgotten.
-    pub(super) forgotten: Vec<ServerId>,
+    /// Servers that are no longer tracked.
+    pub(super) removed: Vec<ServerId>,
 }
 
 impl Endpoints {
-    /// How many servers take new requests.
+    /// Number of servers that accept new requests.
     pub(super) fn serving(&self) -> usize {
         self.serving
     }
 
-    /// Whether a server takes new requests.
+    /// Whether a server accepts new requests.
     pub(super) fn is_serving(&self, server: ServerId) -> bool {
         self.known.get(&server).is_some_and(|endpoint| endpoint.serving)
     }
 
-    /// A whole list or a change of it.
-    pub(super) fn update(&mut self, members: &[Endpoint], whole: bool) -> ListUpdate {
-        if whole {
+    /// Applies an endpoint list (`is_full_list`) or an endpoint update.
+    pub(super) fn update(&mut self, endpoints: &[Endpoint], is_full_list: bool) -> EndpointChanges {
+        if is_full_list {
             self.known.values_mut().for_each(|endpoint| endpoint.serving = false);
         }
-        let mut update = ListUpdate::default();
-        for member in members {
-            let serving = member.state == ServerState::Serving;
-            let endpoint = KnownEndpoint { serving, started_at: member.started_at };
-            let known = self.known.insert(member.server, endpoint);
-            if known.is_some_and(|known| known.started_at != member.started_at) {
-                update.restarted.push(member.server);
+        let mut changes = EndpointChanges::default();
+        for endpoint in endpoints {
+            let serving = endpoint.state == ServerState::Serving;
+            let entry = KnownEndpoint { serving, started_at: endpoint.started_at };
+            let previous = self.known.insert(endpoint.server, entry);
+            if previous.is_some_and(|previous| previous.started_at != endpoint.started_at) {
+                changes.restarted.push(endpoint.server);
             }
         }
         self.serving = self.known.values().filter(|endpoint| endpoint.serving).count();
-        // Without this the map would keep every server that there ever was.
-        let gone: Vec<ServerId> =
+        // Bounds the size of the map while servers are replaced.
+        let not_serving: Vec<ServerId> =
             self.known.iter().filter(|(_, endpoint)| !endpoint.serving).map(|(server, _)| *server).collect();
-        if gone.len() > self.known.len() / 2 + MAX_GONE_BEYOND_HALF {
+        if not_serving.len() > self.known.len() / 2 + GONE_ENDPOINT_MARGIN {
             self.known.retain(|_, endpoint| endpoint.serving);
-            update.forgotten = gone;
+            changes.removed = not_serving;
         }
-        update
+        changes
     }
 }
--- a/limits/src/layer/mod.rs
+++ b/limits/src/layer/mod.rs
@@ -1,9 +1,9 @@
-//! The layer itself: limits round whatever decides within.
+//! The limits layer, which wraps a router and enforces a [`Policy`].
 //!
-//! The layer never chooses a server and never answers for what has been sent. It rejects requests before anything was
-//! sent for them, cuts time-outs short, and withholds attempts: the router within is told that such an attempt was
-//! never sent, and goes on from there. An attempt that a backoff delays counts as in flight within, so that no final
-//! answer crosses it.
+//! The layer never chooses a server and never produces the final answer of a request after an attempt was sent. It
+//! rejects requests before their first attempt, shortens timeouts, and delays or withholds attempts. A withheld attempt
+//! is reported to the router as [`Outcome::NotSent`]. An attempt delayed by backoff counts as in flight in the router,
+//! so that the router does not finish the request while the attempt is pending.
 
 mod admission;
 mod attempts;
@@ -17,7 +17,7 @@
 
 use crate::policy::Policy;
 use crate::token_bucket::TokenBucket;
-use attempts::{AttemptEnd, WantedAttempt};
+use attempts::{AttemptEnd, RequestedAttempt};
 use endpoints::Endpoints;
 use notchdoor::{Action, Decide, Endpoint, Event, Micros, Outcome, RequestId, Settings};
 use rand::SeedableRng;
@@ -29,22 +29,22 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
-use timer_token::{TimerToken, OWN_BIT};
+use timer_token::{TimerToken, LAYER_BIT};
 
-/// A retry budget in force, shared by routes.
+/// The token bucket of a retry budget, kept across reloads by name.
 struct SharedBudget {
     name: String,
     bucket: Rc<RefCell<TokenBucket>>,
 }
 
-/// An attempt that was never sent; the router is still to be told so.
+/// An attempt that was not sent and whose end has yet to be reported to the router.
 struct UnsentAttempt {
     id: RequestId,
     attempt: u32,
     outcome: Outcome,
 }
 
-/// Limits round the decisions.
+/// Enforces a policy on the actions of an inner router.
 pub struct LimitsLayer<D> {
     inner: D,
     settings: Settings,
@@ -57,13 +57,14 @@
     attempts_in_flight: u64,
     endpoints: Endpoints,
     unsent: VecDeque<UnsentAttempt>,
-    /// Actions of the router within; kept for its memory.
+    /// Buffer for the router's actions, reused to avoid allocations.
     inner_actions: Vec<Action>,
     metrics: LimitsMetrics,
 }
 
 impl<D: Decide> LimitsLayer<D> {
-    /// A layer round `inner`, which was given the settings that [`crate::stack::settings_with`] makes.
+    /// Wraps `inner`, which must have been created with the result of [`crate::stack::router_settings`]. `settings` are
+    /// the deployment's own.
     pub fn new(inner: D, settings: Settings, policy: Arc<Policy>, seed: u64, now: Micros) -> Self {
         let mut layer = LimitsLayer {
             inner,
@@ -71,8 +72,8 @@
             policy: Arc::default(),
             routes: Vec::new(),
             retry_budgets: Vec::new(),
-            // Apart from the router's own random numbers, which come from the same seed.
-            rng: ChaCha8Rng::seed_from_u64(seed ^ OWN_BIT),
+            // The router uses the same seed, so the layer derives another one from it.
+            rng: ChaCha8Rng::seed_from_u64(seed ^ LAYER_BIT),
             requests: FxHashMap::default(),
             in_flight: 0,
             attempts_in_flight: 0,
@@ -85,13 +86,13 @@
         layer
     }
 
-    /// Takes up another policy from the next request on. Routes and budgets of the same name keep their state;
-    /// requests that are open keep the limits they began with.
+    /// Replaces the policy for new requests. Routes and budgets keep their state by name; open requests keep the limits
+    /// that they started with.
     pub fn reload(&mut self, policy: Arc<Policy>, now: Micros) {
         let old_budgets = std::mem::take(&mut self.retry_budgets);
         for budget in &policy.retry_budgets {
-            let known = old_budgets.iter().find(|old| old.name == budget.name);
-            let bucket = known.map_or_else(
+            let previous = old_budgets.iter().find(|old| old.name == budget.name);
+            let bucket = previous.map_or_else(
                 || Rc::new(RefCell::new(TokenBucket::new(budget.config, now))),
                 |old| Rc::clone(&old.bucket),
             );
@@ -100,65 +101,70 @@
         }
         let old_routes = std::mem::take(&mut self.routes);
         for route in &policy.routes {
-            let known = old_routes.iter().find(|old| old.name == route.name);
-            let state = known.map(|old| Rc::clone(&old.state));
+            let previous = old_routes.iter().find(|old| old.name == route.name);
+            let state = previous.map(|old| Rc::clone(&old.state));
             self.routes.push(Rc::new(ActiveRoute::new(route, state, now)));
         }
         self.policy = policy;
     }
 
-    /// The router within.
+    /// The inner router.
     pub fn inner(&self) -> &D {
         &self.inner
     }
 
-    /// The router within, to be changed by its own means.
+    /// Mutable access to the inner router.
     pub fn inner_mut(&mut self) -> &mut D {
         &mut self.inner
     }
 
-    /// What the layer has done so far.
+    /// Counters since the layer was created.
     pub fn metrics(&self) -> LimitsMetrics {
         self.metrics
     }
 
-    /// Times that circuit breakers opened, over all routes.
+    /// Number of times that the current circuit breakers of all routes have opened.
     pub fn breaker_openings(&self) -> u64 {
         self.routes.iter().map(|route| route.breaker_openings()).sum()
     }
 
-    /// Requests held, open or with attempts in flight, and attempts in flight, as the host counts them.
+    /// Number of tracked requests (open or with attempts in flight) and of attempts in flight.
     pub fn load(&self) -> (usize, u64) {
         (self.requests.len(), self.attempts_in_flight)
     }
 
-    /// What is kept though no request is open.
-    pub fn left_over(&self) -> Option<String> {
-        let by_route: u32 = self.routes.iter().map(|route| route.state.borrow().in_flight).sum();
-        let (held, all, out) = (self.requests.len(), self.in_flight, self.attempts_in_flight);
-        let idle = held == 0 && all == 0 && out == 0 && by_route == 0;
-        (!idle).then(|| format!("limits: {held} held, {all} in flight, {by_route} by route, {out} out"))
+    /// Describes remaining state, or `None` if there is none. Remaining state is a leak if no request is open.
+    pub fn leaked_state(&self) -> Option<String> {
+        let route_in_flight: u32 = self.routes.iter().map(|route| route.state.borrow().in_flight).sum();
+        let (requests, in_flight, attempts) = (self.requests.len(), self.in_flight, self.attempts_in_flight);
+        let idle = requests == 0 && in_flight == 0 && attempts == 0 && route_in_flight == 0;
+        (!idle).then(|| {
+            format!(
+                "limits: {requests} requests tracked, {in_flight} in flight, {route_in_flight} in flight by route, \
+                 {attempts} attempts in flight"
+            )
+        })
     }
 
-    /// Hands an event to the router within, and carries out what comes back.
-    fn handle_within(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
+    /// Passes an event to the router and applies the resulting actions.
+    fn forward_to_router(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let mut inner_actions = std::mem::take(&mut self.inner_actions);
         self.inner.handle(now, event, &mut inner_actions);
         for action in inner_actions.drain(..) {
-            self.carry_out(now, action, actions);
+            self.apply_action(now, action, actions);
         }
         self.inner_actions = inner_actions;
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, actions: &mut Vec<Action>) {
+    fn apply_action(&mut self, now: Micros, action: Action, actions: &mut Vec<Action>) {
         match action {
             Action::Send { id, server, give_up_at, begin_by } => {
-                self.send(now, WantedAttempt { id, server, give_up_at, begin_by }, actions);
+                self.handle_send(now, RequestedAttempt { id, server, give_up_at, begin_by }, actions);
             }
-            Action::Cancel { id, attempt } => self.cancel(id, attempt, actions),
+            Action::Cancel { id, attempt } => self.handle_cancel(id, attempt, actions),
             Action::Reject { id, retry_after } => {
-                let own = self.requests.get(&id).and_then(|request| request.route.limits.retry_after);
-                let retry_after = own.unwrap_or(retry_after).min(self.settings.max_retry_after);
+                let configured = self.requests.get(&id).and_then(|request| request.route.limits.retry_after);
+                let retry_after = configured.unwrap_or(retry_after).min(self.settings.max_retry_after);
                 actions.push(Action::Reject { id, retry_after });
                 self.finish(id);
             }
@@ -170,27 +176,27 @@
         }
     }
 
-    /// Tells the router of the attempts that were never sent.
+    /// Reports the attempts that were not sent to the router.
     fn report_unsent(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(UnsentAttempt { id, attempt, outcome }) = self.unsent.pop_front() {
             let last = self.requests.get(&id).is_none_or(|request| request.finished);
             let ended = Event::AttemptEnded { id, attempt, outcome, took: None, request_done: last };
-            self.handle_within(now, ended, actions);
+            self.forward_to_router(now, ended, actions);
             self.remove_if_done(id);
         }
     }
 
-    /// Takes up the endpoint list. What was learnt of a server's old process is void once it has started anew.
-    fn on_endpoints(&mut self, members: &[Endpoint], whole: bool) {
-        let update = self.endpoints.update(members, whole);
+    /// Applies an endpoint list or update. Resets the breakers of restarted servers and drops those of removed ones.
+    fn on_endpoints(&mut self, endpoints: &[Endpoint], is_full_list: bool) {
+        let changes = self.endpoints.update(endpoints, is_full_list);
         for route in &self.routes {
             let mut state = route.state.borrow_mut();
-            for server in &update.restarted {
+            for server in &changes.restarted {
                 if let Some(breaker) = state.breakers.get_mut(server) {
                     breaker.reset();
                 }
             }
-            for server in &update.forgotten {
+            for server in &changes.removed {
                 state.breakers.remove(server);
             }
         }
@@ -208,28 +214,28 @@
             }
             Event::ClientLeft(id) => {
                 self.finish(id);
-                self.handle_within(now, Event::ClientLeft(id), actions);
+                self.forward_to_router(now, Event::ClientLeft(id), actions);
                 self.remove_if_done(id);
             }
             Event::Timer(number) => match TimerToken::decode(number) {
                 Some(token) => self.on_timer(now, token, actions),
-                None => self.handle_within(now, event, actions),
+                None => self.forward_to_router(now, event, actions),
             },
             Event::ReplyStarted { id, attempt, took } => {
                 let index = self.requests.get(&id).and_then(|request| request.index_of(attempt));
                 let attempt = index.map_or(attempt, |index| index as u32);
-                self.handle_within(now, Event::ReplyStarted { id, attempt, took }, actions);
+                self.forward_to_router(now, Event::ReplyStarted { id, attempt, took }, actions);
             }
-            Event::EndpointList(members) => {
-                self.on_endpoints(members, true);
-                self.handle_within(now, event, actions);
+            Event::EndpointList(endpoints) => {
+                self.on_endpoints(endpoints, true);
+                self.forward_to_router(now, event, actions);
             }
-            Event::EndpointUpdate(members) => {
-                self.on_endpoints(members, false);
-                self.handle_within(now, event, actions);
+            Event::EndpointUpdate(endpoints) => {
+                self.on_endpoints(endpoints, false);
+                self.forward_to_router(now, event, actions);
             }
             Event::DiscoveryError | Event::HedgeGranted(_) | Event::AnswerNow(_) => {
-                self.handle_within(now, event, actions);
+                self.forward_to_router(now, event, actions);
             }
         }
         self.report_unsent(now, actions);
@@ -237,7 +243,7 @@
 
     fn timer_request(&self, token: u64) -> Option<RequestId> {
         match TimerToken::decode(token) {
-            Some(own) => Some(own.request()),
+            Some(token) => Some(token.request()),
             None => self.inner.timer_request(token),
         }
     }
--- a/limits/tests/common/mod.rs
+++ b/limits/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! Settings that the tests and the benchmark share.
+//! Settings shared by the tests and the benchmark.
 
 use notchdoor::{Class, Discovery, Effect, Settings};
 
-/// A class that is wanted within so many milliseconds.
-pub fn class(aim_ms: u64, worth: f64, effect: Effect) -> Class {
+/// A class with the given latency objective, priority weight and effect.
+pub fn class(latency_objective_ms: u64, priority_weight: f64, effect: Effect) -> Class {
     Class {
-        latency_objective: aim_ms * 1_000,
-        priority_weight: worth,
+        latency_objective: latency_objective_ms * 1_000,
+        priority_weight,
         late_value_share: 0.2,
         effect,
         window_share: 1.0,
     }
 }
 
-/// Settings like the platform's, for so many proxies and these classes.
-pub fn settings(balancers: u32, classes: Vec<Class>) -> Settings {
+/// Settings that resemble a deployment, with the given number of proxies and classes.
+pub fn settings(proxies: u32, classes: Vec<Class>) -> Settings {
     Settings {
-        proxies: balancers,
+        proxies,
         classes,
         tenants: vec![],
         over_quota_weight: 0.05,
