--- a/cli/tests/group.rs
+++ b/cli/tests/group.rs
@@ -92,7 +92,7 @@
         |f: &mut Fleet| f.resource.since(place).into_iter().find(|a| proxy_of(&a.holder) == Some(holder));
     fleet.until("the late action", PATIENCE, late).unwrap();
     let found = fleet.check().unwrap_err();
-    assert!(found.starts_with("an admitted token fell"), "{found}");
+    assert!(found.starts_with("admitted token decreased"), "{found}");
     fleet.keep = false;
 }
 
@@ -178,7 +178,7 @@
     let ended = fleet.members.get_mut(&lost).unwrap().wait(PATIENCE).unwrap().expect("it does not go on");
     assert_eq!(ended.code(), Some(2));
     let log = fleet.members[&lost].log();
-    assert!(log.contains("had another disk: its votes are lost"), "{log}");
+    assert!(log.contains("was enlisted with a different store, and its votes are lost"), "{log}");
     // A new one by the operators' commands, while the fleet works on.
     let removed = operator(&fleet, &["coord", "remove", "--id", &lost.to_string()]);
     assert!(removed.status.success(), "{removed:?}");
@@ -322,11 +322,11 @@
     for (line, told) in [
         (
             vec!["coord", "run", "--config", &group],
-            format!("notchdoor: {group}:9: timing.tick_ms: from 10 to 10000\n"),
+            format!("notchdoor: {group}:9: timing.tick_ms: must be from 10 to 10000\n"),
         ),
         (
             vec!["lease", "list", "--coord", &tasks],
-            format!("notchdoor: {tasks}:5: task.name: 1 to 128 bytes"),
+            format!("notchdoor: {tasks}:5: task.name: must be 1 to 128 bytes"),
         ),
         (vec!["lease", "list"], "notchdoor: which group: --at ADDRESS".to_owned()),
         (
--- a/cli/tests/versions.rs
+++ b/cli/tests/versions.rs
@@ -213,7 +213,8 @@
     let refused = command(&fleet, &line.each_ref().map(String::as_str)).output().unwrap();
     let told = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(
-        refused.status.code() == Some(2) && told.contains("block.keys: 'k1' is not in the guard"),
+        refused.status.code() == Some(2)
+            && told.contains("block.keys: 'k1' is not covered by versions.guard"),
         "{told}"
     );
     assert!(apply(&fleet, &["fix"], &["--wait"]).status.success());
@@ -256,8 +257,12 @@
         write("bound.toml", "[[member]]\nid = 1\nclient = \"127.0.0.1:9\"\n[versions]\nwithin_ms = 10\n");
     for (file, coord, told) in [
         (&unknown, &coord, format!("notchdoor: {unknown}:2: unknown field `clases`")),
-        (&outside, &coord, format!("notchdoor: {outside}:3: block.classes: 'fix' is not in the guard")),
-        (&outside, &bound, format!("notchdoor: {bound}:5: versions.within_ms: from 500 to 600000")),
+        (
+            &outside,
+            &coord,
+            format!("notchdoor: {outside}:3: block.classes: 'fix' is not covered by versions.guard"),
+        ),
+        (&outside, &bound, format!("notchdoor: {bound}:5: versions.within_ms: must be from 500 to 600000")),
     ] {
         let out = Command::new(PROGRAM).args(["settings", "apply", file, "--coord", coord]).output().unwrap();
         let error = String::from_utf8_lossy(&out.stderr);
--- a/coordination/src/check.rs
+++ b/coordination/src/check.rs
@@ -1,41 +1,41 @@
-//! The checker of what the side that is acted on recorded: two holders never act at once. The lab in
-//! virtual time and the harness of processes use this one.
+//! Checks recorded actions for the mutual exclusion that the lease group guarantees. Used by the simulation
+//! and by the multi-process testbed.
 
 use std::collections::BTreeMap;
 
-/// One action, as the side that was acted on saw it.
+/// One action under a lease, as recorded by the server that received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Action {
-    /// When it began and when it ended, in microseconds on one clock.
+    /// Start time in microseconds. All actions of a record use the same clock.
     pub began: u64,
-    /// See `began`.
+    /// End time in microseconds, on the same clock.
     pub ended: u64,
-    /// The task.
+    /// The task whose lease the action was made under.
     pub task: String,
-    /// Who acted.
+    /// Name of the lease holder that made the action.
     pub holder: String,
-    /// With which token.
+    /// Fencing token that the action carried.
     pub token: u64,
-    /// Whether it was let in.
+    /// Whether the fence admitted the action.
     pub admitted: bool,
 }
 
-/// What a record that holds comes to.
+/// Totals of a record that passed [`check`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checked {
-    /// Actions let in.
+    /// Number of admitted actions.
     pub admitted: usize,
-    /// Actions that the fence refused.
+    /// Number of actions that the fence refused.
     pub refused: usize,
-    /// Times that a task went from one holder to another.
+    /// Number of times that a task moved from one lease holder to another.
     pub handovers: usize,
-    /// Tasks seen.
+    /// Number of distinct tasks with an admitted action.
     pub tasks: usize,
 }
 
-/// Checks a record: for each task the admitted tokens only grow, a token has one holder, no two
-/// actions of different holders overlap in time, and none was refused without cause. The error says
-/// which actions break it.
+/// Checks that, for each task, admitted tokens never decrease, each token belongs to one holder, actions of
+/// different holders do not overlap, and an action is refused only after a higher token was admitted. The
+/// error describes the actions that violate this.
 pub fn check(record: &[Action]) -> Result<Checked, String> {
     let mut last: BTreeMap<&str, &Action> = BTreeMap::new();
     let mut holders: BTreeMap<u64, &Action> = BTreeMap::new();
@@ -45,14 +45,14 @@
     for action in by_start {
         let first = holders.entry(action.token).or_insert(action);
         if (&first.task, &first.holder) != (&action.task, &action.holder) {
-            return Err(format!("one token of two holders or tasks: {first:?} and {action:?}"));
+            return Err(format!("token used by two holders or tasks: {first:?} and {action:?}"));
         }
         let before = last.get(action.task.as_str()).copied();
         if !action.admitted {
             checked.refused += 1;
             if before.is_none_or(|b| action.token >= b.token) {
                 return Err(format!(
-                    "refused without a higher token before it: {action:?}, after {before:?}"
+                    "action refused although no higher token was admitted before it: {action:?}, previous {before:?}"
                 ));
             }
             continue;
@@ -60,12 +60,12 @@
         checked.admitted += 1;
         if let Some(before) = before {
             if action.token < before.token {
-                return Err(format!("an admitted token fell: {before:?}, then {action:?}"));
+                return Err(format!("admitted token decreased: {before:?}, then {action:?}"));
             }
             if action.holder != before.holder {
                 checked.handovers += 1;
                 if action.began < before.ended {
-                    return Err(format!("two holders at once: {before:?} and {action:?}"));
+                    return Err(format!("actions of two holders overlap: {before:?} and {action:?}"));
                 }
             }
         }
@@ -75,18 +75,20 @@
     Ok(checked)
 }
 
-/// A time in which a proxy acted on a version, in milliseconds on one clock. In safe mode it acts on none.
+/// A period during which a proxy applied one configuration version, in milliseconds. Proxies in safe mode
+/// apply no version and have no period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Period {
-    /// The version.
+    /// Number of the configuration version.
     pub version: u64,
-    /// From when.
+    /// Start of the period, inclusive.
     pub from: u64,
-    /// Until when.
+    /// End of the period, exclusive.
     pub until: u64,
 }
 
-/// The longest time, in milliseconds, during which two proxies without a break acted on different versions.
+/// Returns the longest uninterrupted time, in milliseconds, during which any two proxies applied different
+/// versions.
 pub fn disagreement(proxies: &[Vec<Period>]) -> u64 {
     let mut longest = 0;
     for (n, a) in proxies.iter().enumerate() {
@@ -99,7 +101,7 @@
                 }
             }
             apart.sort_unstable();
-            // Periods that follow one another are one disagreement.
+            // Adjacent and overlapping periods count as one disagreement.
             let mut run: Option<(u64, u64)> = None;
             for (from, until) in apart {
                 run = match run {
--- a/coordination/src/check/tests.rs
+++ b/coordination/src/check/tests.rs
@@ -21,8 +21,11 @@
         let error = check(actions).unwrap_err();
         assert!(error.starts_with(told), "{error}");
     };
-    breaks(&[act(0, 5, "a", 4, true), act(6, 9, "b", 2, true)], "an admitted token fell");
-    breaks(&[act(0, 5, "a", 2, true), act(4, 9, "b", 4, true)], "two holders at once");
-    breaks(&[act(0, 5, "a", 2, true), act(6, 9, "b", 2, true)], "one token of two holders");
-    breaks(&[act(0, 5, "a", 2, true), act(6, 6, "b", 3, false)], "refused without");
+    breaks(&[act(0, 5, "a", 4, true), act(6, 9, "b", 2, true)], "admitted token decreased");
+    breaks(&[act(0, 5, "a", 2, true), act(4, 9, "b", 4, true)], "actions of two holders overlap");
+    breaks(&[act(0, 5, "a", 2, true), act(6, 9, "b", 2, true)], "token used by two holders or tasks");
+    breaks(
+        &[act(0, 5, "a", 2, true), act(6, 6, "b", 3, false)],
+        "action refused although no higher token was admitted before it",
+    );
 }
--- a/coordination/src/client.rs
+++ b/coordination/src/client.rs
@@ -1,8 +1,8 @@
-//! A holder's side of one task, without I/O: when to ask, when it may act, how long to back off.
+//! Client side of the lease of one task, without I/O.
 //!
-//! The proxies' driver sends what [`TaskClient::due`] says, feeds back what the group answered,
-//! and asks [`TaskClient::token`] before each fleet-wide action. Nothing on the data path waits
-//! on it: a task that is not held is only not done for the fleet.
+//! The driver sends the requests that [`TaskClient::due`] returns, passes the answers to
+//! [`TaskClient::answered`], and checks [`TaskClient::token`] before each action under the lease. Request
+//! forwarding never waits for a lease.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,19 +11,19 @@
 use crate::lease::{Command, Millis, Outcome, Refusal};
 use crate::protocol::Answer;
 
-/// The shortest and the longest back-off after the group did not grant.
+/// Minimum and maximum back-off after a failed request, in milliseconds.
 pub const BACKOFF_MS: (Millis, Millis) = (100, 5_000);
 
-/// A request to send, numbered so that a late answer to an older one is told apart.
+/// A request to send. The number matches the answer to it; answers to earlier requests are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// The number of this request, growing.
+    /// Request number, increasing.
     pub req: u64,
-    /// What is asked.
+    /// The lease command to send.
     pub command: Command,
 }
 
-/// One task as its would-be holder sees it.
+/// Acquires and renews the lease of one task.
 pub struct TaskClient {
     task: String,
     holder: String,
@@ -31,7 +31,7 @@
     drift: Drift,
     held: Option<(u64, Millis)>,
     asking: Option<(u64, Millis)>,
-    /// A grant to give back before anything else is asked.
+    /// Token of a grant to release before any other request is sent.
     give_up: Option<u64>,
     next_ask: Millis,
     failures: u32,
@@ -40,7 +40,8 @@
 }
 
 impl TaskClient {
-    /// A client that wants `task` for `holder`, with grants of `ttl_ms`.
+    /// Creates a client that acquires `task` for `holder` with a TTL of `ttl_ms`. `seed` seeds the back-off
+    /// jitter.
     pub fn new(task: &str, holder: &str, ttl_ms: Millis, drift: Drift, seed: u64) -> Self {
         TaskClient {
             task: task.to_owned(),
@@ -57,26 +58,26 @@
         }
     }
 
-    /// The token to act with at `now`, if this holder may act now.
+    /// Returns the fencing token if this client may act under the lease at `now`.
     pub fn token(&self, now: Millis) -> Option<u64> {
         self.held.filter(|&(_, until)| now < until).map(|(token, _)| token)
     }
 
-    /// The task's name.
+    /// Returns the name of the task.
     pub fn task(&self) -> &str {
         &self.task
     }
 
-    /// The side that is acted on refused `token` as older than one it has seen: this holder is none
-    /// any more. The grant is given back before it asks anew, so that the next token is higher
-    /// even where the group still has the old one in force.
+    /// Handles the refusal of `token` by a server that has seen a higher one. The lease is dropped and
+    /// released before it is acquired again, so that the next token is higher even if the group still has
+    /// the old grant in force.
     pub fn fenced(&mut self, token: u64, now: Millis) {
         if self.held.is_some_and(|(held, _)| held == token) {
             self.stop_holding(now);
         }
     }
 
-    /// Stops acting at once and gives the grant back, if there is one.
+    /// Drops the lease at once and schedules its release, if there is one.
     pub fn stop_holding(&mut self, now: Millis) {
         if let Some((token, _)) = self.held.take() {
             self.give_up = Some(token);
@@ -85,25 +86,25 @@
         }
     }
 
-    /// Whether a request has been out for so long that it counts as lost.
+    /// Returns whether the request in flight has been unanswered for a third of the TTL.
     pub fn is_timed_out(&self, now: Millis) -> bool {
         self.asking.is_some_and(|(_, sent)| now >= sent + self.ttl_ms / 3)
     }
 
-    /// When [`TaskClient::due`] has something to do next.
+    /// Returns when [`TaskClient::due`] has to be called next.
     pub fn next_due(&self) -> Millis {
         let until = self.held.map_or(Millis::MAX, |(_, until)| until);
         let next = self.asking.map_or(self.next_ask, |(_, sent)| sent + self.ttl_ms / 3);
         next.min(until)
     }
 
-    /// Until when this holder may act, if it holds.
+    /// Returns when the lease held by this client ends, unless it is renewed.
     pub fn until(&self) -> Option<Millis> {
         self.held.map(|(_, until)| until)
     }
 
-    /// What to send at `now`: an acquire or a renewal when one is due and none is out. An
-    /// unanswered request counts as lost after a TTL's third.
+    /// Returns the request to send at `now`, if one is due and none is in flight. A request that has timed
+    /// out is dropped, and the next one waits for the back-off.
     pub fn due(&mut self, now: Millis) -> Option<Ask> {
         if self.asking.is_some() {
             if !self.is_timed_out(now) {
@@ -134,13 +135,14 @@
         Some(Ask { req: self.req, command })
     }
 
-    /// Takes the group's answer to request `req` at `now`; answers to other requests are old.
+    /// Processes the answer to request `req`, received at `now`. Answers to other requests are ignored.
     pub fn answered(&mut self, req: u64, answer: &Answer, now: Millis) {
         let Some((_, sent)) = self.asking.filter(|&(r, _)| r == req) else { return };
         self.asking = None;
         match answer {
             Answer::Done { outcome: Outcome::Released { .. }, .. } => {
-                // Somebody wanted it to end here: the others, who ask each third of a TTL, go first.
+                // The lease was ended on purpose. Waiting for a full TTL lets other clients acquire it
+                // first, since they retry every third of a TTL.
                 self.give_up = None;
                 self.next_ask = now + self.ttl_ms;
             }
@@ -156,34 +158,33 @@
                 self.failures = 0;
             }
             Answer::Held { again_ms, .. } => {
-                // Spread, so that those who were told the same do not come back together.
+                // The jitter spreads the retries of clients that received the same delay.
                 self.held = None;
                 let wait = (*again_ms).max(BACKOFF_MS.0);
                 self.next_ask = now.saturating_add(wait - self.rng.random_range(0..wait / 4));
             }
             Answer::Done { outcome: Outcome::Refused(Refusal::Held { .. }), left_ms } => {
-                // Ask again when the grant is due to end, but after a third of the TTL at the
-                // latest: a release or a leader's expiry frees the task earlier than the member
-                // that answered could know, and a waiter costs no more than a holder renewing.
+                // Retry when the grant is due to expire, but after at most a third of the TTL: a release or
+                // an expiry may free the task earlier than the answering member knew.
                 self.held = None;
                 let wait = left_ms.unwrap_or(self.ttl_ms).min(self.ttl_ms / 3).max(BACKOFF_MS.0);
                 self.next_ask = now.saturating_add(wait - self.rng.random_range(0..wait / 4));
             }
             Answer::Done { outcome: Outcome::Refused(Refusal::NotHolder { .. }), .. } => {
-                // The grant ended at the group; stop acting at once and ask anew.
+                // The group has ended the grant. Stop acting and acquire it again at once.
                 self.held = None;
                 self.give_up = None;
                 self.next_ask = now;
             }
             Answer::Later { retry_after_ms } => self.next_ask = now.saturating_add(*retry_after_ms),
-            // The one that leads is looked for, and paced, by whoever carries the requests.
+            // The session chooses the next member and applies its own back-off.
             Answer::NotLeader { .. } => self.next_ask = now,
             _ => self.back_off(now),
         }
     }
 
-    /// Forgets a request whose way to the group broke. It is asked again as soon as there is another
-    /// way: whoever looks for that one paces it.
+    /// Drops the request in flight after its connection broke. It is sent again on the next connection; the
+    /// session paces reconnects.
     pub fn lost(&mut self, now: Millis) {
         if self.asking.take().is_some() {
             self.next_ask = now;
@@ -193,7 +194,7 @@
     fn back_off(&mut self, now: Millis) {
         self.failures = self.failures.saturating_add(1);
         let longest = BACKOFF_MS.0.saturating_mul(1 << self.failures.min(6)).min(BACKOFF_MS.1);
-        // Full jitter, so that proxies that lost the group together do not come back together.
+        // Jitter keeps proxies that lost the group at the same time from retrying in lockstep.
         self.next_ask = now + BACKOFF_MS.0.min(longest) + self.rng.random_range(0..longest);
     }
 }
--- a/coordination/src/config.rs
+++ b/coordination/src/config.rs
@@ -1,17 +1,17 @@
-//! The lease group's settings file (TOML), checked before anything starts. Every error names the
-//! file, the line and the field.
+//! Settings files of group members and proxies (TOML), checked before startup. Errors name the file, the
+//! line and the field.
 //!
 //! ```toml
 //! [group]
-//! id = 1                       # this member
-//! data = "m1"                  # its folder; kept across restarts
+//! id = 1                       # id of this member
+//! data = "m1"                  # data directory, kept across restarts
 //!
 //! [[member]]
 //! id = 1
-//! peer = "127.0.0.1:7101"      # where members talk
-//! client = "127.0.0.1:7201"    # where proxies and operators ask
+//! peer = "127.0.0.1:7101"      # address for other members
+//! client = "127.0.0.1:7201"    # address for proxies and operators
 //!
-//! [timing]                     # optional, these are the defaults
+//! [timing]                     # optional; the values shown are the defaults
 //! tick_ms = 100
 //! election_ticks = 10
 //! heartbeat_ticks = 3
@@ -21,7 +21,7 @@
 //! max_ttl_ms = 60000
 //! max_tasks = 4096
 //!
-//! [drift]                      # optional: the stated bound on clocks
+//! [drift]                      # optional; bounds on clock drift
 //! rate_ppm = 10000
 //! margin_ms = 100
 //! ```
@@ -42,7 +42,7 @@
 use crate::versioned_config::WITHIN_MS;
 use crate::versioned_config::{BlockRules, ConfirmationTiming};
 
-/// Tasks that a table may be set to hold, at the most.
+/// Upper limit of the `lease.max_tasks` setting. A snapshot of the lease table must fit into one frame.
 const MOST_TASKS: usize = 8192;
 
 #[derive(Deserialize)]
@@ -59,7 +59,7 @@
     versions: Option<VersionsFile>,
 }
 
-/// The bound on versions and what they may forbid; a proxy's file and a member's have the same.
+/// The `[versions]` section, with the same keys in the files of members and proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VersionsFile {
@@ -139,35 +139,35 @@
     }
 }
 
-/// A checked settings file of one member.
+/// Validated settings of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupConfig {
-    /// This member's id.
+    /// Id of this member.
     pub id: u64,
-    /// Its folder.
+    /// Data directory.
     pub data: PathBuf,
-    /// All members, this one among them.
+    /// All members, including this one.
     pub members: Vec<MemberAddr>,
-    /// Ticks and elections.
+    /// Tick, election and heartbeat intervals.
     pub pace: RaftTiming,
-    /// What the table takes.
+    /// Limits of the lease table.
     pub bounds: Bounds,
-    /// The stated bound on clocks.
+    /// Bounds on clock drift.
     pub drift: Drift,
-    /// The times of versions.
+    /// Timing of configuration versions.
     pub terms: ConfirmationTiming,
-    /// What versions may forbid.
+    /// Rules that a configuration version may contain.
     pub guard: BlockRules,
 }
 
 impl GroupConfig {
-    /// This member's addresses.
+    /// Returns the addresses of this member.
     pub fn me(&self) -> &MemberAddr {
         self.members.iter().find(|m| m.id == self.id).unwrap_or(&self.members[0])
     }
 }
 
-/// Reads and checks a member's settings; `file` is what errors call it.
+/// Parses and validates the settings of a member. `file` is the file name used in errors.
 pub fn parse(file: &str, text: &str) -> Result<GroupConfig, String> {
     let raw: File = toml::from_str(text).map_err(|e| at_span(file, text, &e))?;
     let at = |section: &str, field: &str, why: String| {
@@ -175,44 +175,52 @@
     };
     let ids: BTreeSet<u64> = raw.member.iter().map(|m| m.id).collect();
     if ids.len() != raw.member.len() || ids.contains(&0) {
-        return Err(at("member", "id", "each member has its own id, not 0".into()));
+        return Err(at("member", "id", "member ids must be unique and not 0".into()));
     }
-    // An even count comes with a change of members, one at a time.
+    // Even counts are allowed, because members are added and removed one at a time.
     if raw.member.len() > MOST_MEMBERS {
         return Err(at(
             "member",
             "id",
-            format!("{MOST_MEMBERS} members at the most, not {}", raw.member.len()),
+            format!("at most {MOST_MEMBERS} members are allowed, got {}", raw.member.len()),
         ));
     }
     if !ids.contains(&raw.group.id) {
-        return Err(at("group", "id", format!("{} is not among the members", raw.group.id)));
+        return Err(at("group", "id", format!("{} is not the id of a [[member]]", raw.group.id)));
     }
     let t = &raw.timing;
     if !(10..=10_000).contains(&t.tick_ms) {
-        return Err(at("timing", "tick_ms", "from 10 to 10000".into()));
+        return Err(at("timing", "tick_ms", "must be from 10 to 10000".into()));
     }
     if t.heartbeat_ticks == 0 || t.election_ticks <= t.heartbeat_ticks {
-        return Err(at("timing", "election_ticks", "more than heartbeat_ticks, which is at least 1".into()));
+        return Err(at(
+            "timing",
+            "election_ticks",
+            "must be greater than heartbeat_ticks, which must be at least 1".into(),
+        ));
     }
     let l = &raw.lease;
     let election_ms = t.tick_ms * t.election_ticks as u64;
     if l.min_ttl_ms < 2 * t.tick_ms || l.max_ttl_ms < l.min_ttl_ms {
-        return Err(at("lease", "min_ttl_ms", "at least two ticks, at most max_ttl_ms".into()));
+        return Err(at("lease", "min_ttl_ms", "must be at least two ticks and at most max_ttl_ms".into()));
     }
-    // A grant shorter than an election ends at every change of leader.
+    // A TTL shorter than an election would let every grant expire at a change of leader.
     if l.max_ttl_ms < election_ms {
-        return Err(at("lease", "max_ttl_ms", format!("at least an election ({election_ms} ms)")));
+        return Err(at(
+            "lease",
+            "max_ttl_ms",
+            format!("must be at least the election timeout ({election_ms} ms)"),
+        ));
     }
-    // A snapshot of the table has to fit into one frame.
+    // Larger tables would not fit into a snapshot frame.
     if l.max_tasks == 0 || l.max_tasks > MOST_TASKS {
-        return Err(at("lease", "max_tasks", format!("from 1 to {MOST_TASKS}")));
+        return Err(at("lease", "max_tasks", format!("must be from 1 to {MOST_TASKS}")));
     }
     if raw.drift.rate_ppm > 100_000 || raw.drift.margin_ms * 2 > l.min_ttl_ms {
         return Err(at(
             "drift",
             "rate_ppm",
-            "at most 100000 (10 %), with margin_ms under half of min_ttl_ms".into(),
+            "must be at most 100000 (10 %), and margin_ms at most half of lease.min_ttl_ms".into(),
         ));
     }
     let drift = Drift { rate_ppm: raw.drift.rate_ppm, margin_ms: raw.drift.margin_ms };
@@ -241,21 +249,21 @@
     })
 }
 
-/// A task that a proxy does for the fleet while it holds the lease: a call, again and again.
+/// A periodic HTTP call that the proxy holding the task's lease makes for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
-    /// The task's name at the group.
+    /// Name of the task in the lease group.
     pub name: String,
-    /// For how long a grant holds without a renewal.
+    /// TTL of the lease, in milliseconds. Defaults to 5000.
     #[serde(default = "usual_ttl")]
     pub ttl_ms: u64,
-    /// Whom the holder calls.
+    /// Address that the lease holder calls.
     pub call: SocketAddr,
-    /// With which path.
+    /// Request path of the call. Defaults to `/`.
     #[serde(default = "usual_path")]
     pub path: String,
-    /// How often.
+    /// Interval between calls, in milliseconds. Defaults to 1000.
     #[serde(default = "usual_every")]
     pub every_ms: u64,
 }
@@ -277,39 +285,39 @@
 struct DoorFile {
     id: u64,
     client: SocketAddr,
-    /// Read past, so that a member's own list can be used as it is.
+    /// Ignored. Lets a proxy use the member list of a group member unchanged.
     #[serde(rename = "peer")]
     _peer: Option<SocketAddr>,
 }
 
-/// A proxy's part in the copies that proxies hold for each other.
+/// Settings of the replica store of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CopiesConfig {
-    /// Its machine: two proxies of one machine are one machine.
+    /// Name of the machine. Replicas of a shard are placed on different machines.
     pub machine: String,
-    /// Its zone.
+    /// Name of the zone. Defaults to `-`.
     #[serde(default = "usual_zone")]
     pub zone: String,
-    /// Where it listens for other proxies.
+    /// Listen address for other proxies.
     pub listen: SocketAddr,
-    /// Where other proxies reach it, where that is another address.
+    /// Address that other proxies connect to, if it differs from `listen`.
     pub peer: Option<SocketAddr>,
-    /// Its folder; kept across restarts.
+    /// Data directory, kept across restarts.
     pub data: PathBuf,
-    /// Shards, the same in every file.
+    /// Number of shards. Must be the same for all proxies.
     #[serde(default = "usual_shards")]
     pub shards: u32,
-    /// Copies of each.
+    /// Target number of replicas per shard.
     #[serde(default = "usual_copies")]
     pub copies: usize,
-    /// With fewer in sync a shard takes no writes.
+    /// Minimum number of in-sync replicas for a shard to accept writes.
     #[serde(default = "usual_least")]
     pub least: usize,
 }
 
 impl CopiesConfig {
-    /// How the fleet keeps copies, as this file has it.
+    /// Returns the replication parameters of this file.
     pub fn shape(&self) -> ShardMapParameters {
         ShardMapParameters { shards: self.shards, copies: self.copies, least: self.least }
     }
@@ -317,7 +325,7 @@
     fn check(&self) -> Result<(), (&'static str, String)> {
         for (field, name) in [("machine", &self.machine), ("zone", &self.zone)] {
             if !is_name(name, MOST_NAME) {
-                return Err((field, format!("1 to {MOST_NAME} bytes of A-Z a-z 0-9 . _ : / @ -")));
+                return Err((field, format!("must be 1 to {MOST_NAME} bytes of A-Z a-z 0-9 . _ : / @ -")));
             }
         }
         self.shape().check()
@@ -352,25 +360,25 @@
     copies: Option<CopiesConfig>,
 }
 
-/// A checked file of a proxy, or of an operator who asks the group.
+/// Validated settings of a proxy, or of an operator's client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TasksConfig {
-    /// Whom to ask.
+    /// Members of the group, by id and client address.
     pub doors: Vec<Endpoint>,
-    /// What to do for the fleet.
+    /// Periodic calls to make while holding their leases.
     pub tasks: Vec<Task>,
-    /// The stated bound on clocks.
+    /// Bounds on clock drift.
     pub drift: Drift,
-    /// What versions may forbid, where this proxy acts on versions at all.
+    /// Rules that configuration versions may contain. `None` if the proxy does not apply versions.
     pub guard: Option<BlockRules>,
-    /// Its part in the copies, where it has one.
+    /// Settings of the replica store. `None` if the proxy stores no replicas.
     pub copies: Option<CopiesConfig>,
 }
 
-/// Tasks of one proxy at the most.
+/// Maximum number of tasks of one proxy.
 pub const MOST_PROXY_TASKS: usize = 64;
 
-/// Reads and checks a proxy's file; `file` is what errors call it.
+/// Parses and validates the settings of a proxy. `file` is the file name used in errors.
 pub fn parse_tasks(file: &str, text: &str) -> Result<TasksConfig, String> {
     let raw: TasksFile = toml::from_str(text).map_err(|e| at_span(file, text, &e))?;
     let bounds = Bounds::default();
@@ -379,31 +387,43 @@
         Err(format!("{file}:{}: task.{field}: {why}", line_of_nth(text, "task", n, field)))
     };
     if raw.member.is_empty() || raw.member.len() > MOST_MEMBERS {
-        return Err(format!("{file}:1: member: from 1 to {MOST_MEMBERS} of them"));
+        return Err(format!("{file}:1: member: must list 1 to {MOST_MEMBERS} members"));
     }
     if raw.task.len() > MOST_PROXY_TASKS || names.len() != raw.task.len() {
-        return wrong(0, "name", format!("at most {MOST_PROXY_TASKS} tasks, each with a name of its own"));
+        return wrong(0, "name", format!("at most {MOST_PROXY_TASKS} tasks are allowed, with unique names"));
     }
     for (n, task) in raw.task.iter().enumerate() {
         if !is_name(&task.name, bounds.max_name) {
-            return wrong(n, "name", format!("1 to {} bytes of A-Z a-z 0-9 . _ : / @ -", bounds.max_name));
+            return wrong(
+                n,
+                "name",
+                format!("must be 1 to {} bytes of A-Z a-z 0-9 . _ : / @ -", bounds.max_name),
+            );
         }
         if !(bounds.min_ttl_ms..=bounds.max_ttl_ms).contains(&task.ttl_ms) {
-            return wrong(n, "ttl_ms", format!("from {} to {}", bounds.min_ttl_ms, bounds.max_ttl_ms));
+            return wrong(
+                n,
+                "ttl_ms",
+                format!("must be from {} to {}", bounds.min_ttl_ms, bounds.max_ttl_ms),
+            );
         }
         if raw.drift.margin_ms * 2 > task.ttl_ms || raw.drift.rate_ppm > 100_000 {
             return wrong(
                 n,
                 "ttl_ms",
-                "at least twice drift.margin_ms, with drift.rate_ppm at most 100000".into(),
+                "must be at least twice drift.margin_ms, and drift.rate_ppm at most 100000".into(),
             );
         }
         if !(10..=3_600_000).contains(&task.every_ms) {
-            return wrong(n, "every_ms", "from 10 to 3600000".into());
+            return wrong(n, "every_ms", "must be from 10 to 3600000".into());
         }
         let plain = task.path.starts_with('/') && task.path.bytes().all(|b| b.is_ascii_graphic());
         if !plain || task.path.len() > 256 {
-            return wrong(n, "path", "begins with / and has at most 256 plain characters".into());
+            return wrong(
+                n,
+                "path",
+                "must begin with / and have at most 256 printable ASCII characters".into(),
+            );
         }
     }
     let drift = Drift { rate_ppm: raw.drift.rate_ppm, margin_ms: raw.drift.margin_ms };
@@ -441,8 +461,7 @@
     out: BTreeSet<String>,
 }
 
-/// Reads and checks a file of what a version is to forbid; `guard` is what versions may forbid, where the
-/// reader knows it.
+/// Parses and validates a rules file. Rules outside `guard` are rejected if it is given.
 pub fn parse_rules(file: &str, text: &str, guard: Option<&BlockRules>) -> Result<BlockRules, String> {
     let raw: RulesFile = toml::from_str(text).map_err(|e| at_span(file, text, &e))?;
     let rules = BlockRules { classes: raw.block.classes, keys: raw.block.keys, workers: raw.workers.out };
@@ -450,24 +469,27 @@
         |field: &str| field.split_once('.').map_or(1, |(section, field)| line_of(text, section, field));
     rules.check().map_err(|(field, why)| format!("{file}:{}: {field}: {why}", line(field)))?;
     match guard.and_then(|guard| rules.outside(guard)) {
-        Some((field, name)) => Err(format!("{file}:{}: {field}: '{name}' is not in the guard", line(field))),
+        Some((field, name)) => {
+            Err(format!("{file}:{}: {field}: '{name}' is not covered by versions.guard", line(field)))
+        }
         None => Ok(rules),
     }
 }
 
-/// What a TOML error is told as: the file, the line, and what was wrong.
+/// Formats a TOML error with the file and the line that it occurred in.
 pub fn at_span(file: &str, text: &str, error: &toml::de::Error) -> String {
     let line = error.span().map_or(1, |s| text[..s.start.min(text.len())].matches('\n').count() + 1);
     format!("{file}:{line}: {}", error.message().replace('\n', "; "))
 }
 
-/// The line where `field` is written in `[section]` (or the first `[[section]]` that has it), else
-/// the section's line.
+/// Returns the line of `field` in the first `[section]` or `[[section]]` that contains it, or the line of
+/// the section header.
 fn line_of(text: &str, section: &str, field: &str) -> usize {
     line_of_nth(text, section, usize::MAX, field)
 }
 
-/// The same for the `n`th `[[section]]`, from 0; any for `usize::MAX`.
+/// Like [`line_of`], but only for the `n`th `[[section]]`, counted from 0. `usize::MAX` searches all
+/// sections.
 fn line_of_nth(text: &str, section: &str, n: usize, field: &str) -> usize {
     let (mut header, mut inside, mut seen) = (None, false, 0);
     for (at, line) in text.lines().enumerate() {
--- a/coordination/src/config/tests.rs
+++ b/coordination/src/config/tests.rs
@@ -7,11 +7,11 @@
     let config = parse("g.toml", THREE).unwrap();
     assert_eq!((config.id, config.me().peer.port(), config.pace.election_ticks), (2, 7102, 10));
     let bad = THREE.replace("id = 2\ndata", "id = 9\ndata");
-    assert_eq!(parse("g.toml", &bad).unwrap_err(), "g.toml:2: group.id: 9 is not among the members");
+    assert_eq!(parse("g.toml", &bad).unwrap_err(), "g.toml:2: group.id: 9 is not the id of a [[member]]");
     let short = format!("{THREE}\n[lease]\nmax_ttl_ms = 800\n");
     assert_eq!(
         parse("g.toml", &short).unwrap_err(),
-        "g.toml:21: lease.max_ttl_ms: at least an election (1000 ms)"
+        "g.toml:21: lease.max_ttl_ms: must be at least the election timeout (1000 ms)"
     );
     let typo = THREE.replace("peer = \"127.0.0.1:7103\"", "peer = \"127.0.0.1:71o3\"");
     assert!(
@@ -27,10 +27,10 @@
     let config = parse_tasks("t.toml", text).unwrap();
     assert_eq!((config.doors.len(), config.tasks[0].ttl_ms, config.tasks[1].every_ms), (1, 5_000, 100));
     for (from, to, told) in [
-        ("every_ms = 100", "every_ms = 1", "t.toml:12: task.every_ms: from 10 to 3600000"),
-        ("ttl_ms = 2000", "ttl_ms = 20", "t.toml:11: task.ttl_ms: from 500 to 60000"),
-        ("\"probe\"", "\"a b\"", "t.toml:10: task.name: 1 to 128 bytes"),
-        ("\"probe\"", "\"warm\"", "t.toml:6: task.name: at most 64 tasks"),
+        ("every_ms = 100", "every_ms = 1", "t.toml:12: task.every_ms: must be from 10 to 3600000"),
+        ("ttl_ms = 2000", "ttl_ms = 20", "t.toml:11: task.ttl_ms: must be from 500 to 60000"),
+        ("\"probe\"", "\"a b\"", "t.toml:10: task.name: must be 1 to 128 bytes"),
+        ("\"probe\"", "\"warm\"", "t.toml:6: task.name: at most 64 tasks are allowed"),
         ("\"/origin\"", "\"/o r\"", "t.toml:14: task.path: "),
         ("every_ms", "evry_ms", "t.toml:12: unknown field `evry_ms`"),
     ] {
@@ -41,8 +41,8 @@
     let config = parse_tasks("t.toml", &format!("{text}{copies}")).unwrap().copies.unwrap();
     assert_eq!((config.shape().shards, config.shape().copies, config.zone.as_str()), (64, 3, "-"));
     for (from, to, told) in [
-        ("least = 2", "least = 4", "t.toml:20: copies.least: from 1 to copies"),
-        ("\"m1\"", "\"\"", "t.toml:17: copies.machine: 1 to 64 bytes"),
+        ("least = 2", "least = 4", "t.toml:20: copies.least: must be from 1 to copies"),
+        ("\"m1\"", "\"\"", "t.toml:17: copies.machine: must be 1 to 64 bytes"),
         ("least", "lest", "t.toml:20: unknown field `lest`"),
     ] {
         let error = parse_tasks("t.toml", &format!("{text}{}", copies.replacen(from, to, 1))).unwrap_err();
--- a/coordination/src/confirm.rs
+++ b/coordination/src/confirm.rs
@@ -1,13 +1,14 @@
-//! A proxy's asking for confirmations, without I/O: when, and what each answer means to its view.
+//! Keeps the configuration version of a proxy confirmed by the group, without I/O.
 
 use crate::holder::Drift;
 use crate::lease::Millis;
 use crate::versioned_config::{Acting, Confirmation, Version, View};
 
-/// How long a confirmation is taken to be good before the first one has said so.
+/// Validity assumed for the first confirmation, used for the timeout of the first request. Later
+/// confirmations state their own.
 const FIRST_GOOD_MS: Millis = 1_500;
 
-/// Keeps a view confirmed.
+/// Sends confirmation requests and updates a [`View`] from the answers.
 #[derive(Clone, Debug)]
 pub struct Confirmer {
     view: View,
@@ -18,23 +19,24 @@
 }
 
 impl Confirmer {
-    /// One that has heard nothing: in safe mode.
+    /// Creates a confirmer in safe mode, without any confirmed version.
     pub fn new(drift: Drift) -> Confirmer {
         Confirmer { view: View::new(drift), asking: None, next_ask: 0, good_ms: FIRST_GOOD_MS, asked: 0 }
     }
 
-    /// What the proxy acts on.
+    /// Returns the rules that the proxy applies at `now`.
     pub fn acting(&mut self, now: Millis) -> Acting<'_> {
         self.view.acting(now)
     }
 
-    /// What the proxy acts on from when to when, if it hears nothing more.
+    /// Returns the times at which the applied version changes if no further answer arrives, with the version
+    /// from each time on. `None` is safe mode.
     pub fn plan(&mut self, now: Millis) -> Vec<(Millis, Option<Version>)> {
         self.view.plan(now)
     }
 
-    /// A request that is due: its number, and the newest version heard of. Each has a number of its
-    /// own, since an answer counts from when its very request was sent.
+    /// Returns the number and the newest known version of a request that is due. Numbers are never reused,
+    /// because the validity of a confirmation counts from when its own request was sent.
     pub fn due(&mut self, now: Millis) -> Option<(u64, u64)> {
         if self.asking.is_some() || now < self.next_ask {
             return None;
@@ -44,10 +46,10 @@
         Some((self.asked, self.view.have()))
     }
 
-    /// Takes the group's word in answer to request `number`.
+    /// Processes the confirmation in answer to request `number`, received at `now`.
     pub fn answered(&mut self, number: u64, told: &Confirmation, now: Millis) {
         let Some((_, sent)) = self.asking.filter(|&(asked, _)| asked == number) else { return };
-        // What was acted on until now counts, whoever asked for it last: there is no way back from it.
+        // Record the version applied until now: a proxy must never return to an older one.
         self.view.acting(now);
         self.asking = None;
         self.good_ms = told.good_ms.max(1);
@@ -55,7 +57,7 @@
         self.next_ask = sent.saturating_add(self.good_ms / 3);
     }
 
-    /// The request has no answer, or another one: again after so long.
+    /// Reschedules request `number` for `at`, after an answer that was not a confirmation.
     pub fn again(&mut self, number: u64, at: Millis) {
         if self.asking.is_some_and(|(asked, _)| asked == number) {
             self.asking = None;
@@ -63,19 +65,19 @@
         }
     }
 
-    /// Forgets a request whose way broke; it is asked again as soon as there is another way.
+    /// Drops the request in flight after its connection broke. It is sent again on the next connection.
     pub fn lost(&mut self, now: Millis) {
         if self.asking.take().is_some() {
             self.next_ask = now;
         }
     }
 
-    /// Whether a request has been out for so long that it counts as lost.
+    /// Returns whether the request in flight has been unanswered for a third of the confirmation's validity.
     pub fn is_timed_out(&self, now: Millis) -> bool {
         self.asking.is_some_and(|(_, sent)| now >= sent.saturating_add(self.good_ms / 3))
     }
 
-    /// When there is something to do next.
+    /// Returns when [`Confirmer::due`] has to be called next, or when the request in flight times out.
     pub fn next_due(&self) -> Millis {
         self.asking.map_or(self.next_ask, |(_, sent)| sent.saturating_add(self.good_ms / 3))
     }
--- a/coordination/src/fence.rs
+++ b/coordination/src/fence.rs
@@ -1,20 +1,20 @@
-//! The fence kept by the side that is acted on: the highest token seen for each task.
+//! Fencing on the server side: rejects actions with an outdated fencing token.
 //!
-//! Tokens are log indexes of the group, so they grow across all tasks, not only within one.
-//! That lets the map be bounded without losing safety: a task that is forgotten leaves its
-//! token in a floor, and a task that is not in the map takes no token below the floor. A
-//! holder refused that way only has to acquire again, which gives it a token above the floor.
+//! Tokens are log indexes of the group, so they increase across all tasks. This allows the number of
+//! remembered tasks to be bounded: the token of an evicted task raises a floor, and tasks that are not
+//! remembered are refused below the floor. A holder refused this way acquires its lease again and receives a
+//! token above the floor.
 
 use std::collections::BTreeMap;
 
-/// Why an action was refused.
+/// Refusal of an action whose token is lower than one already seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stale {
-    /// The lowest token that would have been accepted.
+    /// The lowest token that would have been admitted.
     pub wanted: u64,
 }
 
-/// The highest token seen per task, bounded.
+/// Highest token seen per task, for a bounded number of tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: BTreeMap<String, (u64, u64)>,
@@ -24,13 +24,13 @@
 }
 
 impl Fence {
-    /// A fence that remembers at most `max_tasks` tasks (at least one).
+    /// Creates a fence that remembers at most `max_tasks` tasks, and at least one.
     pub fn new(max_tasks: usize) -> Self {
         Fence { highest: BTreeMap::new(), floor: 0, max_tasks: max_tasks.max(1), seen: 0 }
     }
 
-    /// Admits an action on `task` with `token`, or refuses it as older than one already seen.
-    /// An equal token is the same grant acting again and is admitted.
+    /// Admits an action on `task` with `token` unless a higher token was seen. An equal token is another
+    /// action under the same grant and is admitted.
     pub fn admit(&mut self, task: &str, token: u64) -> Result<(), Stale> {
         self.seen += 1;
         let wanted = self.highest.get(task).map_or(self.floor, |&(t, _)| t);
@@ -44,12 +44,12 @@
         Ok(())
     }
 
-    /// The token that `task` must at least bring now.
+    /// Returns the lowest token that is admitted for `task`.
     pub fn wanted(&self, task: &str) -> u64 {
         self.highest.get(task).map_or(self.floor, |&(t, _)| t)
     }
 
-    /// Forgets the task seen least recently; its token goes into the floor.
+    /// Evicts the least recently used task and raises the floor to its token.
     fn forget_one(&mut self) {
         let oldest =
             self.highest.iter().min_by_key(|(_, &(_, seen))| seen).map(|(k, &(t, _))| (k.clone(), t));
--- a/coordination/src/fence/tests.rs
+++ b/coordination/src/fence/tests.rs
@@ -6,7 +6,7 @@
     assert_eq!(f.admit("warm", 7), Ok(()));
     assert_eq!(f.admit("warm", 7), Ok(()));
     assert_eq!(f.admit("warm", 5), Err(Stale { wanted: 7 }));
-    assert_eq!(f.admit("probe", 5), Ok(()), "tasks are fenced each on its own");
+    assert_eq!(f.admit("probe", 5), Ok(()), "each task has its own highest token");
 }
 
 #[test]
@@ -14,7 +14,7 @@
     let mut f = Fence::new(2);
     f.admit("a", 10).unwrap();
     f.admit("b", 3).unwrap();
-    f.admit("c", 4).unwrap(); // "a" is forgotten, its 10 becomes the floor
+    f.admit("c", 4).unwrap(); // evicts "a" and raises the floor to 10
     assert_eq!(f.admit("a", 9), Err(Stale { wanted: 10 }));
     assert_eq!(f.admit("a", 11), Ok(()));
 }
--- a/coordination/src/holder.rs
+++ b/coordination/src/holder.rs
@@ -1,18 +1,17 @@
-//! The holder's clock: when a holder may act on its grant and when it must ask again.
+//! Lease validity as seen by the lease holder.
 //!
-//! A holder counts from the moment it *sent* its request, which is before any member can have
-//! applied it, and stops early by the drift bound and a margin. The group counts from when it
-//! applied the entry (or from a new leader's election), so a grant ends at the holder first.
+//! A holder counts the TTL from when it *sent* its request and subtracts the drift bound and a margin. The
+//! group counts from when it applied the entry, or from the election of a new leader. A lease therefore
+//! always ends at the holder before the group frees the task.
 
 use crate::lease::Millis;
 
-/// The stated bounds on clocks and on the last action's way.
+/// Bounds on clock drift and on the delivery time of an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drift {
-    /// How much faster or slower one process's clock may run than another's, in parts per
-    /// million: 10,000 is one per cent.
+    /// Maximum rate difference between the clocks of two processes, in parts per million.
     pub rate_ppm: u64,
-    /// What the last action may take to reach the side that is acted on.
+    /// Maximum time in milliseconds for an action to reach the server it acts on.
     pub margin_ms: Millis,
 }
 
@@ -23,14 +22,15 @@
 }
 
 impl Drift {
-    /// The last moment, on the holder's clock, at which it may act on a grant of `ttl_ms`
-    /// asked for at `sent`. Twice the rate: the holder's clock may be slow and the leader's fast.
+    /// Returns when, on the holder's clock, a lease of `ttl_ms` requested at `sent` ends. The drift counts
+    /// twice, because the holder's clock may be slow and the leader's fast.
     pub fn act_until(&self, sent: Millis, ttl_ms: Millis) -> Millis {
         let shrink = ttl_ms.saturating_mul(self.rate_ppm.saturating_mul(2)) / 1_000_000;
         sent.saturating_add(ttl_ms.saturating_sub(shrink).saturating_sub(self.margin_ms))
     }
 
-    /// When a holder asks to renew: a third of the way, so that two renewals may be lost.
+    /// Returns when to renew a lease requested at `sent`. A third of the TTL leaves time for two lost
+    /// renewals.
     pub fn renew_at(&self, sent: Millis, ttl_ms: Millis) -> Millis {
         sent.saturating_add(ttl_ms / 3)
     }
--- a/coordination/src/holder/tests.rs
+++ b/coordination/src/holder/tests.rs
@@ -6,8 +6,8 @@
     let (sent, ttl) = (1_000, 3_000);
     let until = d.act_until(sent, ttl);
     assert_eq!(until, 1_000 + 3_000 - 60 - 100);
-    // The holder's clock one per cent slow, the leader's one per cent fast, the leader
-    // applying the grant the moment it was sent: the holder still stops first.
+    // Worst case: the holder's clock is 1 % slow, the leader's is 1 % fast, and the leader applies the grant
+    // as soon as the request is sent.
     let holder_real = (until - sent) as f64 * 1.01;
     let group_real = ttl as f64 * 0.99;
     assert!(holder_real < group_real, "{holder_real} {group_real}");
--- a/coordination/src/lease.rs
+++ b/coordination/src/lease.rs
@@ -1,67 +1,67 @@
-//! The lease table, applied from the replicated log, and the leader's clock of expiries.
+//! The replicated lease table and the leader's expiry timers.
 //!
-//! The table holds no time: every member applies the same entries in the same order and
-//! reaches the same table. Time enters only through [`Expiries`], which the leader keeps on
-//! its own monotonic clock and which turns into `Expire` entries once a lease has run out.
+//! The table contains no times: all members apply the same entries in the same order and reach the same
+//! state. Only the leader's [`Expiries`] measures time, on a monotonic clock, and proposes an `Expire` entry
+//! for each lease that has run out.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on a member's monotonic clock (virtual in the lab).
+/// Milliseconds on a monotonic clock, or on the virtual clock of a simulation.
 pub type Millis = u64;
 
-/// What may be asked of the table; one log entry each.
+/// A command on the lease table. Each is one log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Take `task` for `holder` for `ttl_ms`, or, if `holder` has it already, renew it.
+    /// Grants `task` to `holder`, or renews the grant if `holder` already has it.
     Acquire {
-        /// The task's name.
+        /// Name of the task.
         task: String,
-        /// Who asks.
+        /// Name of the requesting holder.
         holder: String,
-        /// How long the grant lasts, from the moment the holder sent its request.
+        /// TTL in milliseconds. The holder counts it from when it sent the request.
         ttl_ms: Millis,
     },
-    /// Keep the grant that `token` names for another TTL.
+    /// Extends a grant by another TTL.
     Renew {
-        /// The task's name.
+        /// Name of the task.
         task: String,
-        /// Who asks.
+        /// Name of the requesting holder.
         holder: String,
-        /// The token of the grant being renewed.
+        /// Token of the grant to renew.
         token: u64,
     },
-    /// Give the grant up before its time.
+    /// Ends a grant before its TTL runs out.
     Release {
-        /// The task's name.
+        /// Name of the task.
         task: String,
-        /// Who asks.
+        /// Name of the requesting holder.
         holder: String,
-        /// The token of the grant given up.
+        /// Token of the grant to release.
         token: u64,
     },
-    /// An operator's wish that the grant end: no renewal is taken any more, so that its holder
-    /// stops and gives it up, or its TTL runs out. It is not free before that.
+    /// Stops renewals of a grant, on an operator's request. The task is not free until the holder releases
+    /// it or its TTL runs out.
     Revoke {
-        /// The task's name.
+        /// Name of the task.
         task: String,
-        /// The token of the grant meant.
+        /// Token of the grant to revoke.
         token: u64,
     },
-    /// The leader's decision that a grant ran out: proposed only by a leader whose clock says so.
+    /// Ends a grant whose TTL has run out. Proposed only by the leader.
     Expire {
-        /// The task's name.
+        /// Name of the task.
         task: String,
-        /// The token of the grant that ran out.
+        /// Token of the expired grant.
         token: u64,
-        /// The index of the last grant or renewal that the leader counted from; a renewal
-        /// applied after it makes this entry void, since the holder counts from that renewal.
+        /// Log index of the grant or renewal that the leader counted the TTL from. If the grant was renewed
+        /// since, the entry has no effect.
         as_of: u64,
     },
 }
 
-/// The task an entry is about.
+/// Returns the name of the task that a command applies to.
 pub fn task_of(command: &Command) -> &str {
     match command {
         Command::Acquire { task, .. }
@@ -72,96 +72,97 @@
     }
 }
 
-/// A grant in force.
+/// A lease in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Who holds it.
+    /// Name of the lease holder.
     pub holder: String,
-    /// The fencing token: the log index of the entry that granted it to this holder.
+    /// Fencing token: the log index of the entry that granted the lease.
     pub token: u64,
-    /// The TTL asked for.
+    /// TTL in milliseconds, as requested.
     pub ttl_ms: Millis,
-    /// The index of the entry that granted or last renewed it.
+    /// Log index of the entry that granted or last renewed the lease.
     pub renewed_at: u64,
-    /// Whether an operator wants it to end.
+    /// Whether the grant was revoked and accepts no more renewals.
     #[serde(default)]
     pub revoked: bool,
 }
 
-/// What applying an entry did.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The task is the holder's, with this token (new, or the same on a repeated acquire).
+    /// The holder has the task. A repeated acquire returns the existing token.
     Granted {
-        /// The fencing token.
+        /// Fencing token.
         token: u64,
-        /// The TTL granted.
+        /// TTL in milliseconds.
         ttl_ms: Millis,
     },
-    /// The grant goes on for another TTL.
+    /// The grant was extended by another TTL.
     Renewed {
-        /// The fencing token, unchanged.
+        /// Fencing token, unchanged by the renewal.
         token: u64,
-        /// The TTL granted.
+        /// TTL in milliseconds.
         ttl_ms: Millis,
     },
-    /// The grant was given up.
+    /// The grant was released by its holder.
     Released {
-        /// The token that ended.
+        /// Token of the released grant.
         token: u64,
     },
-    /// The grant ran out.
+    /// The grant expired.
     Expired {
-        /// The token that ended.
+        /// Token of the expired grant.
         token: u64,
     },
-    /// The grant takes no renewal any more.
+    /// The grant was revoked and accepts no more renewals.
     Revoked {
-        /// Its token.
+        /// Token of the revoked grant.
         token: u64,
     },
-    /// Nothing changed.
+    /// The command was refused and changed nothing.
     Refused(Refusal),
 }
 
-/// Why an entry changed nothing.
+/// Reason why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
     /// Another holder has the task.
     Held {
-        /// Who has it.
+        /// Name of the current holder.
         holder: String,
-        /// With which token.
+        /// Token of the current grant.
         token: u64,
     },
-    /// The grant named is not the one in force (it ended, or was never this holder's).
+    /// The named grant is not in force: it has ended, or belongs to another holder.
     NotHolder {
-        /// The token in force, if any.
+        /// Token of the grant in force, if there is one.
         current: Option<u64>,
     },
-    /// An operator wants the grant to end: its holder stops at once and gives it up.
+    /// The grant was revoked. Its holder must stop acting and release it.
     Revoked {
-        /// The token of the grant.
+        /// Token of the revoked grant.
         token: u64,
     },
-    /// An `Expire` that a renewal or a new grant overtook; harmless.
+    /// The command is outdated: the grant was renewed or replaced since the `Expire` was proposed, or the
+    /// entry was already applied.
     Overtaken,
-    /// The table holds as many tasks as it may.
+    /// The table contains the maximum number of tasks.
     Full,
-    /// A name or a TTL out of bounds.
+    /// A name or a TTL is out of bounds. Contains the reason.
     Invalid(String),
 }
 
-/// Bounds on what the table takes.
+/// Limits of the lease table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Tasks held at once.
+    /// Maximum number of tasks with a grant.
     pub max_tasks: usize,
-    /// Bytes of a task's or a holder's name.
+    /// Maximum length of a task's or a holder's name, in bytes.
     pub max_name: usize,
-    /// The shortest TTL granted.
+    /// Minimum TTL, in milliseconds.
     pub min_ttl_ms: Millis,
-    /// The longest TTL granted.
+    /// Maximum TTL, in milliseconds.
     pub max_ttl_ms: Millis,
 }
 
@@ -171,7 +172,7 @@
     }
 }
 
-/// The grants in force, by task. Deterministic: a function of the entries applied.
+/// Grants in force, by task. A deterministic function of the applied entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
     grants: BTreeMap<String, Grant>,
@@ -179,18 +180,18 @@
 }
 
 impl LeaseTable {
-    /// The grants in force.
+    /// Returns the grants in force, by task.
     pub fn grants(&self) -> &BTreeMap<String, Grant> {
         &self.grants
     }
 
-    /// The index of the last entry applied.
+    /// Returns the log index of the last applied lease entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Applies the entry at `index`. Indexes must come in order; an entry applied twice
-    /// (a replay after a restart) changes nothing and is told as `Overtaken`.
+    /// Applies the entry at `index`. Indexes must increase; an entry that was already applied, as in a
+    /// replay after a restart, changes nothing and returns [`Refusal::Overtaken`].
     pub fn apply(&mut self, index: u64, command: &Command, bounds: &Bounds) -> Outcome {
         if index <= self.applied {
             return Outcome::Refused(Refusal::Overtaken);
@@ -203,8 +204,8 @@
                 }
                 let full = self.grants.len() >= bounds.max_tasks;
                 match self.grants.get_mut(task) {
-                    // The holder asks again (its answer was lost, or it renews by asking): the
-                    // same grant goes on, so a repeated request never makes a second token.
+                    // A repeated acquire, for example after a lost answer, renews the existing grant and
+                    // keeps its token.
                     Some(grant) if grant.holder == *holder && grant.revoked => {
                         Outcome::Refused(Refusal::Revoked { token: grant.token })
                     }
@@ -265,7 +266,8 @@
     }
 }
 
-/// Whether this can name a task or a holder: it goes into headers, logs and snapshots as it is.
+/// Returns whether `name` is valid for a task or a holder. Names are written unescaped to headers, logs and
+/// snapshots.
 pub fn is_name(name: &str, most: usize) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._:/@-".contains(&b);
     (1..=most).contains(&name.len()) && name.bytes().all(plain)
@@ -274,22 +276,20 @@
 fn check(task: &str, holder: &str, ttl_ms: Millis, bounds: &Bounds) -> Result<(), String> {
     for (what, name) in [("task", task), ("holder", holder)] {
         if !is_name(name, bounds.max_name) {
-            return Err(format!(
-                "{what}: a name of 1 to {} bytes of A-Z a-z 0-9 . _ : / @ -",
-                bounds.max_name
-            ));
+            return Err(format!("{what}: must be 1 to {} bytes of A-Z a-z 0-9 . _ : / @ -", bounds.max_name));
         }
     }
     if !(bounds.min_ttl_ms..=bounds.max_ttl_ms).contains(&ttl_ms) {
-        return Err(format!("ttl_ms: from {} to {}", bounds.min_ttl_ms, bounds.max_ttl_ms));
+        return Err(format!("ttl_ms: must be from {} to {}", bounds.min_ttl_ms, bounds.max_ttl_ms));
     }
     Ok(())
 }
 
-/// When each grant runs out, on one member's monotonic clock. Every member keeps it, counting
-/// from when it applied a grant or renewal; only a leader acts on it, and a member that becomes
-/// leader first counts every grant as renewed at its election, since it cannot know how long
-/// its predecessor had left.
+/// Expiry times of all grants on one member's monotonic clock.
+///
+/// Every member tracks them from when it applied a grant or renewal, but only the leader proposes expiries.
+/// A new leader restarts every TTL at its election, because it does not know how much time its predecessor
+/// had counted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Expiries {
     due: BTreeMap<String, Due>,
@@ -303,14 +303,14 @@
 }
 
 impl Due {
-    /// A grant counted from `now`, as renewed by its last grant or renewal entry.
+    /// Returns the expiry of a grant whose TTL starts at `now`.
     fn of(grant: &Grant, now: Millis) -> Due {
         Due { token: grant.token, as_of: grant.renewed_at, at: now + grant.ttl_ms }
     }
 }
 
 impl Expiries {
-    /// Follows what applying an entry did to `task`, at `now`.
+    /// Updates the expiry of `task` after an entry was applied at `now`.
     pub fn follow(&mut self, task: &str, outcome: &Outcome, table: &LeaseTable, now: Millis) {
         match outcome {
             Outcome::Granted { .. } | Outcome::Renewed { .. } => {
@@ -325,12 +325,12 @@
         }
     }
 
-    /// A new leader's start: every grant in `table` runs a full TTL from `now`.
+    /// Restarts the TTL of every grant in `table` at `now`, for a newly elected leader.
     pub fn restart(&mut self, table: &LeaseTable, now: Millis) {
         self.due = table.grants().iter().map(|(task, grant)| (task.clone(), Due::of(grant, now))).collect();
     }
 
-    /// The `Expire` entries that the leader should propose at `now`.
+    /// Returns the `Expire` commands that the leader has to propose at `now`.
     pub fn expired(&self, now: Millis) -> Vec<Command> {
         self.due
             .iter()
@@ -339,7 +339,7 @@
             .collect()
     }
 
-    /// How long until `task` is free, at `now`, as far as this member knows.
+    /// Returns the time until the grant of `task` expires, as measured by this member.
     pub fn left(&self, task: &str, now: Millis) -> Option<Millis> {
         self.due.get(task).map(|due| due.at.saturating_sub(now))
     }
--- a/coordination/src/lease/tests.rs
+++ b/coordination/src/lease/tests.rs
@@ -12,7 +12,7 @@
         t.apply(4, &acquire("warm", "b"), &b),
         Outcome::Refused(Refusal::Held { holder: "a".into(), token: 3 })
     );
-    // A repeated acquire keeps the token: a lost answer never makes a second grant.
+    // A repeated acquire keeps the token.
     assert_eq!(t.apply(5, &acquire("warm", "a"), &b), Outcome::Granted { token: 3, ttl_ms: 3000 });
     let expire = Command::Expire { task: "warm".into(), token: 3, as_of: 5 };
     assert_eq!(t.apply(6, &expire, &b), Outcome::Expired { token: 3 });
@@ -25,7 +25,7 @@
     t.apply(1, &acquire("probe", "a"), &b);
     let renew = Command::Renew { task: "probe".into(), holder: "a".into(), token: 1 };
     assert_eq!(t.apply(2, &renew, &b), Outcome::Renewed { token: 1, ttl_ms: 3000 });
-    // The leader decided on the grant of index 1, but the holder now counts from index 2.
+    // The leader counted from the grant at index 1, but the holder counts from the renewal at index 2.
     let stale = Command::Expire { task: "probe".into(), token: 1, as_of: 1 };
     assert_eq!(t.apply(3, &stale, &b), Outcome::Refused(Refusal::Overtaken));
     assert_eq!(t.grants()["probe"].holder, "a");
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,6 +1,7 @@
-//! The lease group of notchdoor, without I/O: a lease table applied from raft-rs's log, the
-//! leader's clock of expiries, fencing, and the holder's clock. Hosts bring time, bytes and disk.
-//! The design is `docs/leases-design.md`.
+//! The replicated lease group: Raft node, lease table, fencing, versioned configuration and shard map.
+//!
+//! The crate performs no socket I/O and reads no clock; the caller passes in the time, received bytes and
+//! messages. [`store`] is the only module that writes to disk. See `docs/leases-design.md` for the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/coordination/src/log_storage.rs
+++ b/coordination/src/log_storage.rs
@@ -1,33 +1,32 @@
-//! The storage that a Raft node writes its log, its votes and its configuration to: raft-rs's `Storage` to read from,
-//! and the writes of one round.
+//! Storage interface of a Raft node: log, hard state, configuration and snapshot.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::Storage;
 
-/// A member's storage: raft-rs's `Storage` to read, and one call to keep a round's writes.
+/// Storage of a member: raft-rs's [`Storage`] for reads, plus the writes of a Raft node.
 pub trait LogStorage: Storage {
-    /// Keeps a snapshot, entries and the hard state of one round, durably, before returning.
+    /// Durably writes the snapshot, entries and hard state of one round before returning.
     fn keep(
         &self,
         snapshot: Option<&Snapshot>,
         entries: &[Entry],
         hard: Option<&HardState>,
     ) -> raft::Result<()>;
-    /// Notes the commit index learnt after a round. It need not be durable: a restarted member
-    /// learns it from the leader, and the next round's hard state has it.
+    /// Updates the commit index. It need not be durable: a restarted member learns it from the leader, and
+    /// the next round writes it with its hard state.
     fn set_commit(&self, commit: u64) -> raft::Result<()>;
-    /// Keeps the configuration after the change in the entry at `index` was applied, durably. Until this has returned,
-    /// no durable commit index may cover that entry: a member that starts takes what is committed as applied, and would
-    /// never apply the change.
+    /// Durably writes the configuration that results from the membership change at `index`. Until this
+    /// returns, the durable commit index must stay below that entry: a restarting member treats committed
+    /// entries as applied and would miss the change.
     fn set_conf_state_at(&self, conf: ConfState, index: u64) -> raft::Result<()>;
-    /// Replaces the log up to `index`, which is applied, by a snapshot of the table, `data`.
-    /// A store that cannot hand the data to a member that fell behind keeps its log instead.
+    /// Replaces the log up to the applied entry at `index` with a snapshot that contains `data`. A storage
+    /// that cannot send the data to other members may keep its log instead.
     fn compact(&self, index: u64, data: Vec<u8>) -> raft::Result<()>;
 }
 
-/// Whether a round has something that has to be durable before its messages go out. A commit index
-/// alone need not be: it goes with the next round that has.
+/// Returns whether a round contains anything that must be durable before its messages are sent. A new commit
+/// index alone need not be; it is written with the next round.
 pub fn needs_sync(
     snapshot: Option<&Snapshot>,
     entries: &[Entry],
@@ -66,8 +65,8 @@
         Ok(())
     }
 
-    /// raft-rs's memory store makes snapshots without data, which would hand a member that fell
-    /// behind an empty table; the lab's runs are short, so it keeps the whole log.
+    /// Does nothing, because snapshots of raft-rs's `MemStorage` carry no data and would give a lagging
+    /// member an empty table. Simulations are short enough to keep the whole log.
     fn compact(&self, _index: u64, _data: Vec<u8>) -> raft::Result<()> {
         Ok(())
     }
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -1,37 +1,37 @@
-//! The members of a group with their addresses, and how a member with a new store finds out whether and how to start.
+//! Members of the group and their addresses, and the startup decision of a member with a new store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Members at the most.
+/// Maximum number of members in a group.
 pub const MOST_MEMBERS: usize = 7;
 
-/// Where a member is.
+/// Addresses of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberAddr {
-    /// Its id, never 0 and never used twice in a group's life.
+    /// Member id. Never 0, and never reused within a group.
     pub id: u64,
-    /// Where members talk to it.
+    /// Address for other members.
     pub peer: SocketAddr,
-    /// Where proxies and operators ask it.
+    /// Address for clients of the group: proxies and operators.
     pub client: SocketAddr,
 }
 
-/// A member as the group knows it.
+/// A member as recorded in the replicated membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where it is.
+    /// Id and addresses.
     pub at: MemberAddr,
-    /// The number of its store, once it has come: a store with another number is not its own.
+    /// Store number of the member, once enlisted. A store with another number is refused.
     pub number: Option<u64>,
-    /// Whether it votes; it learns before that.
+    /// Whether the member votes. New members start as learners.
     pub voter: bool,
 }
 
-/// The members of a group.
+/// The members of a group. Replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
     members: BTreeMap<u64, MemberRecord>,
@@ -39,7 +39,7 @@
 }
 
 impl Membership {
-    /// The members that found a group, each with its store's number.
+    /// Creates the membership of a new group from the founding members and their store numbers.
     pub fn founding(members: impl IntoIterator<Item = (MemberAddr, u64)>) -> Membership {
         let listed =
             |(at, number): (MemberAddr, u64)| (at.id, MemberRecord { at, number: Some(number), voter: true });
@@ -48,17 +48,17 @@
         Membership { members, highest }
     }
 
-    /// The members by id.
+    /// Returns the members by id.
     pub fn members(&self) -> &BTreeMap<u64, MemberRecord> {
         &self.members
     }
 
-    /// The highest id that the group has ever had; a new one is above it.
+    /// Returns the highest member id ever used. New members need a higher one.
     pub fn highest(&self) -> u64 {
         self.highest
     }
 
-    /// A learner joins. An id that was used before changes nothing.
+    /// Adds a member as a learner. Returns `false` and changes nothing if the id was used before.
     pub fn add(&mut self, at: MemberAddr) -> bool {
         if at.id <= self.highest {
             return false;
@@ -68,58 +68,58 @@
         true
     }
 
-    /// A learner votes from here on.
+    /// Makes a learner a voter.
     pub fn promote(&mut self, id: u64) {
         if let Some(member) = self.members.get_mut(&id) {
             member.voter = true;
         }
     }
 
-    /// A member is gone for good.
+    /// Removes a member. Its id cannot be reused.
     pub fn remove(&mut self, id: u64) {
         self.members.remove(&id);
     }
 
-    /// A member's store comes with this number; whether it is the member's own.
+    /// Records the store number of a member on first use. Returns whether `number` belongs to the member.
     pub fn enlist(&mut self, id: u64, number: u64) -> bool {
         self.members.get_mut(&id).is_some_and(|m| *m.number.get_or_insert(number) == number)
     }
 }
 
-/// What a member with a new store learns by saying hello to the others, and what follows from it.
+/// Answer of another member to the `Hello` request of a member with a new store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Handshake {
-    /// The other is new, too: where it is, and its store's number.
+    /// The other member has a new store, too.
     New {
-        /// Where it is.
+        /// Id and addresses of the other member.
         at: MemberAddr,
-        /// Its store's number.
+        /// Store number of the other member.
         number: u64,
     },
-    /// The other is of a group that lives.
+    /// The other member belongs to a running group.
     Live {
-        /// The members that founded it: what every log begins with.
+        /// Founding members, which every log of the group starts with.
         founders: Membership,
-        /// The members now.
+        /// Current members.
         book: Membership,
     },
 }
 
-/// What a member with a new store does next.
+/// How a member with a new store proceeds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartDecision {
-    /// Go on with a group that these founded.
+    /// Start with these founding members.
     Go(Membership),
-    /// Ask the group to enlist this store; what is founded by these goes on then.
+    /// Ask the group to enlist this store, then start with these founding members.
     Enlist(Membership),
-    /// Ask again: these have not answered.
+    /// Send `Hello` again to these members, which have not answered.
     Wait(Vec<u64>),
-    /// Never: why.
+    /// Do not start. Contains the reason.
     Refuse(String),
 }
 
-/// What follows for member `me` with a new store `number` from what the `others` of its file have
-/// said so far. No vote is cast before this says `Go`.
+/// Decides how member `me` with store `number` starts, given the answers of the `others` in its settings
+/// file. The member must not vote before the decision is [`StartDecision::Go`].
 pub fn decide_start(
     me: MemberAddr,
     number: u64,
@@ -131,18 +131,18 @@
         return match book.members().get(&me.id) {
             Some(MemberRecord { number: Some(n), .. }) if *n == number => StartDecision::Go(founders.clone()),
             Some(MemberRecord { number: Some(_), .. }) => StartDecision::Refuse(format!(
-                "member {0} of this group had another disk: its votes are lost with it; remove member {0} \
-                 and add a new one with an id above {1}",
+                "member {0} was enlisted with a different store, and its votes are lost; remove member {0} \
+                 and add a new member with an id above {1}",
                 me.id,
                 book.highest()
             )),
             Some(_) => StartDecision::Enlist(founders.clone()),
             None if me.id <= book.highest() => StartDecision::Refuse(format!(
-                "member {} was removed from this group; a new one has an id above {}",
+                "member {} was removed from this group; add a new member with an id above {}",
                 me.id,
                 book.highest()
             )),
-            None => StartDecision::Refuse(format!("the group has no member {}: add it first", me.id)),
+            None => StartDecision::Refuse(format!("member {} is not part of the group; add it first", me.id)),
         };
     }
     let missing: Vec<u64> = others.iter().copied().filter(|id| !heard.contains_key(id)).collect();
--- a/coordination/src/membership/tests.rs
+++ b/coordination/src/membership/tests.rs
@@ -11,22 +11,24 @@
     let mut heard = BTreeMap::from([new(2)]);
     assert_eq!(decide_start(at(1), 10, &[2, 3], &heard), StartDecision::Wait(vec![3]));
     heard.extend([new(3)]);
-    let StartDecision::Go(book) = decide_start(at(1), 10, &[2, 3], &heard) else { panic!("all are new") };
+    let StartDecision::Go(book) = decide_start(at(1), 10, &[2, 3], &heard) else {
+        panic!("all members are new")
+    };
     assert_eq!(book, Membership::founding([(at(1), 10), (at(2), 20), (at(3), 30)]));
-    // The slow third finds the others live, with its own number.
+    // The third member starts late, with its own store, and finds a running group.
     let live = |book: &Membership| {
         BTreeMap::from([(1, Handshake::Live { founders: book.clone(), book: book.clone() })])
     };
     assert_eq!(decide_start(at(3), 30, &[1, 2], &live(&book)), StartDecision::Go(book.clone()));
-    // Its disk emptied, it has another number, and does not come back under this id.
+    // With an emptied disk, it has another store number and is refused.
     let refused = decide_start(at(3), 31, &[1, 2], &live(&book));
     assert!(
-        matches!(&refused, StartDecision::Refuse(why) if why.contains("had another disk")),
+        matches!(&refused, StartDecision::Refuse(why) if why.contains("enlisted with a different store")),
         "{refused:?}"
     );
-    // Alone it waits: it cannot know.
+    // Without any answer it has to wait.
     assert_eq!(decide_start(at(3), 31, &[1, 2], &BTreeMap::new()), StartDecision::Wait(vec![1, 2]));
-    // A new one enlists; one that was removed, or was never added, does not start.
+    // An added member enlists. A removed member and one that was never added are refused.
     let founders = book.clone();
     let mut book = book;
     assert!(book.add(at(4)) && !book.add(at(2)));
@@ -37,9 +39,9 @@
     assert!(book.enlist(4, 40) && !book.enlist(4, 41));
     book.remove(4);
     assert!(
-        matches!(decide_start(at(4), 40, &[1], &of(&book)), StartDecision::Refuse(why) if why.contains("removed"))
+        matches!(decide_start(at(4), 40, &[1], &of(&book)), StartDecision::Refuse(why) if why.contains("was removed from this group"))
     );
     assert!(
-        matches!(decide_start(at(5), 50, &[1], &of(&book)), StartDecision::Refuse(why) if why.contains("add it"))
+        matches!(decide_start(at(5), 50, &[1], &of(&book)), StartDecision::Refuse(why) if why.contains("is not part of the group; add it first"))
     );
 }
--- a/coordination/src/protocol.rs
+++ b/coordination/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What clients ask a member of the group, and what they are told.
+//! Requests to and answers from the members of the group.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,152 +10,153 @@
 use crate::shard_map::{NodeId, ShardMapChange, ShardMapConfirmation, ShardMapOutcome};
 use crate::versioned_config::{BlockRules, Confirmation, ProposalOutcome, VersionedConfig};
 
-/// What a client may ask.
+/// A request to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// A change of a lease.
+    /// Changes a lease.
     Lease(Command),
-    /// A new member's store says its number.
+    /// Registers the store of a new member.
     Enlist {
-        /// The member.
+        /// Member id.
         id: u64,
-        /// Its store's number.
+        /// Store number.
         number: u64,
     },
-    /// The grants in force, all or of one task, as a majority confirms them.
+    /// Lists the grants in force. Linearizable.
     List {
-        /// The task; all without.
+        /// Lists only the grant of this task, if set.
         task: Option<String>,
     },
-    /// Propose rules that were made on version `base`.
+    /// Proposes a new configuration version.
     Propose {
-        /// The version they were made on.
+        /// Number of the version that the proposal is based on.
         base: u64,
-        /// What is to be forbidden.
+        /// Complete rules of the new version.
         rules: BlockRules,
     },
-    /// The versions in force and pending, as a majority confirms them.
+    /// Returns the versions in force and pending. Linearizable.
     Versions,
-    /// The same for a proxy that acts on them, good for a time.
+    /// Confirms the versions in force and pending to a proxy, for a limited time.
     Confirm {
-        /// The newest version that it has heard of.
+        /// Newest version that the proxy knows. Rules of known versions are omitted from the answer.
         have: u64,
     },
-    /// A change of who holds which copies.
+    /// Changes the shard map.
     Copies(ShardMapChange),
-    /// Who holds which copies, as a majority confirms it: for a node, by its number and its start, that acts on it for
-    /// a time, or for an operator.
+    /// Returns the shard map. Linearizable. A node applies the answer for a limited time; operators send no
+    /// node.
     Table {
-        /// The node that asks.
+        /// Id and start number of the requesting node.
         node: Option<(NodeId, u64)>,
-        /// The version that it has.
+        /// Version of the shard map that the requester has.
         have: u64,
     },
-    /// Add a member: as a learner, which votes once it has caught up.
+    /// Adds a member as a learner. It becomes a voter once it has caught up.
     Add(MemberAddr),
-    /// Remove a member for good.
+    /// Removes a member. Its id cannot be reused.
     Remove {
-        /// Its id.
+        /// Member id.
         id: u64,
     },
-    /// Where clients ask the members, as this one knows them.
+    /// Returns the client addresses of the members, as known to the receiver.
     Members,
-    /// What this member knows of itself and the group, unconfirmed.
+    /// Returns the local status of the receiver, without confirmation by a majority.
     Status,
-    /// A member with a new store asks how to start.
+    /// Asks how to start, from a member with a new store.
     Hello,
 }
 
-/// A grant, as `List` tells it.
+/// A grant in the answer to `List`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseInfo {
-    /// The task.
+    /// Name of the task.
     pub task: String,
     /// The grant.
     #[serde(flatten)]
     pub grant: Grant,
-    /// Milliseconds until it runs out at the leader.
+    /// Milliseconds until the grant expires, as measured by the leader.
     pub left_ms: Option<Millis>,
 }
 
-/// What `Status` tells.
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// This member.
+    /// Member id.
     pub id: u64,
-    /// `leader`, `follower`, `candidate` or `learner`.
+    /// Raft role: `leader`, `follower`, `candidate` or `learner`.
     pub role: String,
-    /// The leader as it knows it; 0 for none.
+    /// Id of the known leader; 0 if none.
     pub leader: u64,
-    /// The term.
+    /// Raft term.
     pub term: u64,
-    /// The commit index.
+    /// Commit index.
     pub commit: u64,
-    /// The last entry applied.
+    /// Index of the last applied entry.
     pub applied: u64,
-    /// The first entry that its log still has.
+    /// Index of the first entry in the log.
     pub first: u64,
-    /// Grants in force.
+    /// Number of grants in force.
     pub grants: usize,
-    /// The members.
+    /// Members of the group.
     pub book: Membership,
-    /// Figures of its host: messages, bytes, syncs.
+    /// Counters of the hosting process: messages, bytes, fsyncs.
     pub figures: BTreeMap<String, u64>,
 }
 
-/// What a client is told.
+/// An answer from a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The entry was applied; with how long the task has left, as far as this member knows.
+    /// The lease command was applied.
     Done {
-        /// What applying it did.
+        /// Result of the command.
         outcome: Outcome,
-        /// Milliseconds until the task is free, when it is held.
+        /// Milliseconds until the grant of the task expires, if there is one.
         left_ms: Option<Millis>,
     },
-    /// Another has the task, told without an entry of the log.
+    /// Another holder has the task. Answered by the leader without a log entry.
     Held {
-        /// Who has it.
+        /// Name of the lease holder.
         holder: String,
-        /// Milliseconds until it runs out, unless it is renewed.
+        /// Milliseconds until the grant expires, unless it is renewed.
         left_ms: Option<Millis>,
-        /// When to ask again: the later, the more there are who want the task.
+        /// Milliseconds after which to retry. Increases with the number of clients that wait for the task.
         again_ms: Millis,
     },
-    /// Ask the leader, if one is known.
+    /// The receiver is not the leader.
     NotLeader {
-        /// The leader's id.
+        /// Id of the known leader.
         leader: Option<u64>,
-        /// Where clients ask it, as far as the group's book goes.
+        /// Client address of the known leader.
         at: Option<SocketAddr>,
     },
-    /// The grants asked for.
+    /// Answer to `List`.
     Listing(Vec<LeaseInfo>),
-    /// Where clients ask each member.
+    /// Ids and client addresses of the members.
     Members(Vec<(u64, SocketAddr)>),
-    /// What the member knows.
+    /// Answer to `Status`.
     Status(Box<Status>),
-    /// How a member with a new store starts.
+    /// Answer to `Hello`.
     Hello(Handshake),
-    /// What became of a proposal.
+    /// Result of a `Propose` request.
     Proposed(ProposalOutcome),
-    /// The versions asked for.
+    /// Answer to `Versions`.
     Versions(VersionedConfig),
-    /// A proxy's word.
+    /// Answer to `Confirm`.
     Confirmed(Confirmation),
-    /// What became of a change of who holds which copies.
+    /// Result of a shard map change.
     Copies(ShardMapOutcome),
-    /// Who holds which copies.
+    /// Answer to `Table`.
     Table(ShardMapConfirmation),
-    /// The change of members is made.
+    /// The membership change was applied.
     Changed,
-    /// The store is its member's own, or not.
+    /// Whether the store belongs to the member.
     Enlisted(bool),
-    /// Not possible, and why.
+    /// The request is not allowed. Contains the reason.
     Refused(String),
-    /// Too much is waiting, or leadership was lost before the entry committed: ask again then.
+    /// Too many requests are waiting, or leadership was lost before the entry committed. The request may be
+    /// retried.
     Later {
-        /// When to ask again.
+        /// Milliseconds after which to retry.
         retry_after_ms: Millis,
     },
 }
--- a/coordination/src/raft_node.rs
+++ b/coordination/src/raft_node.rs
@@ -1,9 +1,8 @@
-//! The Raft node of one member: raft-rs's `RawNode` with the replicated tables, without I/O.
+//! Raft node of one member: raft-rs's `RawNode` and the replicated state, without I/O.
 //!
-//! The host feeds it the time, messages from other members and requests from clients; it
-//! gives back messages to send and answers to requests. A request is answered only once its
-//! entry is committed and applied, that is once a majority has it on disk; what a round writes is
-//! durable ([`LogStorage::keep`]) before its messages and answers are handed out.
+//! The host passes in the time, messages from other members and client requests, and sends the returned
+//! messages and answers. A request is answered once its entry is committed and applied. The writes of a
+//! round are durable ([`LogStorage::keep`]) before its answers are returned.
 
 mod apply;
 mod membership_changes;
@@ -28,19 +27,19 @@
 use crate::state_machine::{LogCommand, ReplicatedState};
 use crate::versioned_config::{BlockRules, ConfirmationTiming, ProposalOutcome, VersionedConfig};
 
-/// Entries applied between two compactions.
+/// Number of applied entries after which the log is compacted.
 pub const COMPACT_EVERY: u64 = 1_000;
 
-/// How often a node ticks, and how many ticks make an election or a heartbeat.
+/// Tick, election and heartbeat intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftTiming {
-    /// Milliseconds a tick.
+    /// Length of a tick, in milliseconds.
     pub tick_ms: Millis,
-    /// Ticks without a leader before a member campaigns (raft-rs randomises up to twice this).
+    /// Ticks without a leader before a member campaigns. The timeout is randomized up to twice this.
     pub election_ticks: usize,
-    /// Ticks between a leader's heartbeats.
+    /// Ticks between the heartbeats of a leader.
     pub heartbeat_ticks: usize,
-    /// Requests waiting for their entry to commit, at most.
+    /// Maximum number of client requests that wait for a commit or a read confirmation.
     pub max_waiting: usize,
 }
 
@@ -50,61 +49,61 @@
     }
 }
 
-/// What a member did that operators are told of.
+/// An event to be logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A new leader is known.
+    /// A leader was elected.
     Leader {
-        /// Its id.
+        /// Id of the leader.
         id: u64,
-        /// Its term.
+        /// Raft term.
         term: u64,
     },
-    /// A lease entry was applied.
+    /// A lease command was applied.
     Applied {
-        /// The entry's index.
+        /// Log index of the entry.
         index: u64,
         /// The command.
         command: Command,
-        /// What it did.
+        /// Its result.
         outcome: Outcome,
     },
-    /// A proposal of a version was applied.
+    /// A proposal of a configuration version was applied.
     Proposed {
-        /// The entry's index.
+        /// Log index of the entry.
         index: u64,
-        /// What became of it.
+        /// Its result.
         outcome: ProposalOutcome,
     },
-    /// A change of who holds which copies was applied.
+    /// A shard map change was applied.
     Copies {
-        /// The entry's index.
+        /// Log index of the entry.
         index: u64,
         /// The change.
         change: ShardMapChange,
     },
-    /// A version is in force.
+    /// A configuration version came into force.
     InForce {
-        /// Its number.
+        /// Number of the version.
         number: u64,
     },
-    /// A change of members was applied.
+    /// A membership change was applied.
     Members {
-        /// The member.
+        /// Id of the changed member.
         id: u64,
-        /// `learner`, `voter` or `removed`.
+        /// New role: `learner`, `voter` or `removed`.
         now: &'static str,
     },
 }
 
-/// What a round of [`RaftNode::advance`] hands to the host.
+/// Output of [`RaftNode::advance`].
 #[derive(Debug, Default)]
 pub struct RoundOutput {
-    /// Messages for other members.
+    /// Messages to send to other members.
     pub messages: Vec<Message>,
-    /// Answers to requests, by the number the host gave them.
+    /// Answers to requests, by the request number that the host assigned.
     pub answers: Vec<(u64, Answer)>,
-    /// Things to log.
+    /// Events to log.
     pub events: Vec<Event>,
 }
 
@@ -115,15 +114,15 @@
     entry: LogCommand,
 }
 
-/// Who waits for an entry: a member in one of its starts. Requests are numbered from one at each
-/// start, so the member alone would not tell an entry of the last start from one of this.
+/// Identifies which run of which member proposed an entry. Request numbers restart with each run, so a
+/// member id alone could match an entry of an earlier run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Origin {
     member: u64,
     start: u64,
 }
 
-/// What is read once a majority has confirmed the leader.
+/// A linearizable read.
 enum ReadKind {
     Grants(Option<String>),
     Versions,
@@ -131,21 +130,21 @@
     Table(Option<(NodeId, u64)>, u64),
 }
 
-/// Reads that wait for a majority to confirm the leader, and then for its index: all that came
-/// before one round share one.
+/// Reads that wait for a majority to confirm the leader, and then for their index to be applied. All reads
+/// received before a round are confirmed together.
 struct PendingRead {
     asked: Vec<(u64, ReadKind)>,
     until: Millis,
     index: Option<u64>,
 }
 
-/// A learner is no further behind than this when it is made a voter.
+/// Maximum number of entries that a learner may lag behind the log when it is made a voter.
 const CAUGHT_UP: u64 = 64;
 
 /// The Raft node of one member of the group.
 ///
-/// An error of [`RaftNode::advance`] is final: the storage failed, and what it was asked to keep may be lost. The host
-/// ends the process; a start reads back what was kept.
+/// An error of [`RaftNode::advance`] is final: a write failed and may be lost. The host must exit the
+/// process; a restart recovers the durable state.
 pub struct RaftNode<S: LogStorage> {
     node: RawNode<S>,
     state: ReplicatedState,
@@ -156,56 +155,57 @@
     pace: RaftTiming,
     origin: Origin,
     waiting: BTreeSet<u64>,
-    /// A change of members was applied. raft-rs takes no snapshot that does not have the member it
-    /// is for, so the kept one is made anew.
+    /// Whether a membership change was applied in this round. raft-rs rejects snapshots that lack the
+    /// receiving member, so the snapshot has to be rebuilt.
     changed: bool,
-    /// The change of members asked for, if one is under way: by whom, of whom.
+    /// Request number and member id of the membership change in progress.
     changing: Option<(u64, u64)>,
     reads: BTreeMap<u64, PendingRead>,
-    /// Reads that came since the last round.
+    /// Reads received since the last round.
     gathered: Vec<(u64, ReadKind)>,
     batch: u64,
-    /// When the pending version was applied, or this member elected, if that was later; and
-    /// whether its time was proposed to have come.
+    /// When the pending version was applied or this member was elected, whichever is later, and whether
+    /// bringing it into force was proposed.
     pending_since: Millis,
     forced: bool,
     expiring: BTreeSet<(String, u64, u64)>,
-    /// When nodes of copies were last confirmed, since this member leads; and since when it does.
+    /// When each replication node was last confirmed by this member as leader, and when it became leader.
     confirmed: BTreeMap<NodeId, Millis>,
     leads_since: Millis,
-    /// Starts of nodes that were proposed to be down.
+    /// Runs of nodes that were proposed to be marked down.
     downing: BTreeSet<(NodeId, u64)>,
-    /// Who waits for tasks that are held, by task: no more than there are grants.
+    /// Retry pacing per held task. Entries are removed with the grant.
     crowds: BTreeMap<String, RetryPacer>,
     now: Millis,
     ticked: Millis,
     leader: u64,
     rng: ChaCha8Rng,
-    /// The election's ticks, and the term and the role that they were drawn in.
+    /// Randomized election timeout in ticks, and the term and role it was drawn for.
     patience: (usize, u64, StateRole),
     out: RoundOutput,
 }
 
-/// What a member begins with.
+/// Parameters of a new [`RaftNode`].
 pub struct RaftNodeConfig {
-    /// Its id.
+    /// Id of this member.
     pub id: u64,
-    /// A number that no earlier start of it had: random, or counted. It seeds its elections, too.
+    /// Number of this run, different from that of every earlier run. Also seeds the election timeouts.
     pub start: u64,
-    /// The members that founded the group.
+    /// Members that founded the group.
     pub founders: Membership,
-    /// Ticks and elections.
+    /// Tick, election and heartbeat intervals.
     pub pace: RaftTiming,
-    /// What the table takes.
+    /// Limits of the lease table.
     pub bounds: Bounds,
-    /// The times of versions.
+    /// Timing of configuration versions.
     pub terms: ConfirmationTiming,
-    /// What versions may forbid.
+    /// Rules that a configuration version may contain.
     pub guard: BlockRules,
 }
 
 impl<S: LogStorage> RaftNode<S> {
-    /// A member over `store`, which holds the group's configuration already, from `now` on.
+    /// Creates a node over `store`, which already contains the group's configuration, and replays its
+    /// committed entries.
     pub fn new(begin: RaftNodeConfig, store: S, now: Millis) -> raft::Result<Self> {
         let RaftNodeConfig { id, start, founders, pace, bounds, terms, guard } = begin;
         let applied = store.initial_state()?.hard_state.commit.min(store.last_index()?);
@@ -217,7 +217,7 @@
             pre_vote: true,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 256,
-            // What the table holds after replay, so that raft-rs does not hand it over again.
+            // Committed entries are replayed below; raft-rs must not return them again.
             applied,
             ..Config::default()
         };
@@ -250,7 +250,7 @@
             ticked: now,
             leader: 0,
             rng: ChaCha8Rng::seed_from_u64(start ^ id.rotate_left(32)),
-            // Drawn before the first tick: no member starts as a leader.
+            // Replaced before the first tick, because no member starts as leader.
             patience: (0, 0, StateRole::Leader),
             out: RoundOutput::default(),
         };
@@ -258,42 +258,42 @@
         Ok(member)
     }
 
-    /// This member's id.
+    /// Returns the id of this member.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// The leader as this member knows it; 0 for none.
+    /// Returns the id of the leader known to this member; 0 if none.
     pub fn leader(&self) -> u64 {
         self.node.raft.leader_id
     }
 
-    /// Whether this member leads now.
+    /// Returns whether this member is the leader.
     pub fn leads(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// The lease table as applied here.
+    /// Returns the lease table as applied by this member.
     pub fn table(&self) -> &LeaseTable {
         &self.state.leases
     }
 
-    /// The versions as applied here.
+    /// Returns the configuration versions as applied by this member.
     pub fn versions(&self) -> &VersionedConfig {
         &self.state.versions
     }
 
-    /// The members as applied here.
+    /// Returns the membership as applied by this member.
     pub fn book(&self) -> &Membership {
         &self.state.book
     }
 
-    /// Its storage.
+    /// Returns the storage.
     pub fn store(&self) -> &S {
         self.node.store()
     }
 
-    /// What it knows; the host adds its figures.
+    /// Returns the status of this member. The host adds its counters.
     pub fn status(&self) -> Status {
         let raft = &self.node.raft;
         let voter = raft.prs().conf().voters().contains(raft.id);
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Offers the lead to the member that is furthest, before this one stops.
+    /// Starts a leadership transfer to the most advanced voter, for example before a shutdown.
     pub fn hand_over(&mut self) {
         let others = self.state.book.members().values().filter(|m| m.voter && m.at.id != self.id());
         let matched = |id: &u64| self.node.raft.prs().get(*id).map_or(0, |p| p.matched);
@@ -326,13 +326,13 @@
         }
     }
 
-    /// Feeds a message from another member. One that is stray, for another member, or such that
-    /// raft-rs would stop the process on it, is dropped.
+    /// Processes a message from another member. Messages for other members are dropped, and so are messages
+    /// that raft-rs does not expect from the network or would panic on.
     pub fn step(&mut self, message: Message) {
         let takes = match message.get_msg_type() {
-            // Only hosts and leaders ask for these, each of itself.
+            // These are local messages that no other member sends.
             MessageType::MsgPropose | MessageType::MsgReadIndex | MessageType::MsgTransferLeader => false,
-            // A leader tells no more than it knows this member to have.
+            // raft-rs panics on a commit index beyond the log.
             MessageType::MsgHeartbeat => message.commit <= self.node.raft.raft_log.last_index(),
             MessageType::MsgSnapshot => decoded(message.get_snapshot()).is_ok(),
             _ => true,
@@ -342,21 +342,21 @@
         }
     }
 
-    /// A member did not take what was sent to it; raft-rs sends less until it answers.
+    /// Reports that a message to a member could not be delivered, so that raft-rs probes it more slowly.
     pub fn unreachable(&mut self, id: u64) {
         self.node.report_unreachable(id);
     }
 
-    /// Whether a snapshot that was sent to a member has gone out whole.
+    /// Reports whether a snapshot was sent to a member completely.
     pub fn snapshot_sent(&mut self, id: u64, whole: bool) {
         self.node.report_snapshot(id, if whole { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
     }
 
-    /// Moves time to `now` (never back), ticks what is due, proposes the expiries that the
-    /// leader's clock has reached, and hands out one round of writes, messages and answers.
+    /// Advances time to `now`, runs due ticks, proposes due expiries and returns the messages, answers and
+    /// events of this round. Time never moves backwards.
     pub fn advance(&mut self, now: Millis) -> raft::Result<RoundOutput> {
         self.now = self.now.max(now);
-        // After a long pause, more ticks than two elections' worth change nothing but the time.
+        // After a long pause, at most two election timeouts are ticked.
         let most = 2 * self.pace.election_ticks as u64 * self.pace.tick_ms;
         self.ticked = self.ticked.max(self.now.saturating_sub(most));
         while self.ticked + self.pace.tick_ms <= self.now {
@@ -368,7 +368,7 @@
             for expire in self.expiries.expired(self.now) {
                 if let Command::Expire { task, token, as_of } = &expire {
                     if self.expiring.insert((task.clone(), *token, *as_of)) {
-                        // No member's: the entry answers no client's request.
+                        // Proposed without an origin: no client waits for this entry.
                         let _ = self.propose(Origin::default(), 0, LogCommand::Lease(expire));
                     }
                 }
@@ -396,13 +396,14 @@
                 read.index = Some(state.index);
             }
         }
-        // A leader may send before it keeps (raft-rs's rule); what answers a client waits for commit.
+        // Raft allows a leader to send messages before its own write is durable. Clients are answered only
+        // after the commit.
         self.out.messages.extend(ready.take_messages());
         let snapshot = (!ready.snapshot().is_empty()).then(|| ready.snapshot().clone());
         self.node.store().keep(snapshot.as_ref(), ready.entries(), ready.hs())?;
         if let Some(snapshot) = snapshot {
-            // A snapshot comes from a member of the group; one that does not decode is a bug of
-            // ours, and going on with the old table would grant what others hold.
+            // Snapshots come from other members. One that cannot be decoded is a bug, and keeping the old
+            // table could grant a held lease again.
             self.state = decoded(&snapshot)?;
             self.expiries.restart(&self.state.leases, self.now);
         }
@@ -428,5 +429,5 @@
 
 fn decoded(snapshot: &Snapshot) -> raft::Result<ReplicatedState> {
     serde_json::from_slice(snapshot.get_data())
-        .map_err(|e| raft::Error::ConfigInvalid(format!("a snapshot's state: {e}")))
+        .map_err(|e| raft::Error::ConfigInvalid(format!("invalid state in snapshot: {e}")))
 }
--- a/coordination/src/raft_node/apply.rs
+++ b/coordination/src/raft_node/apply.rs
@@ -1,4 +1,4 @@
-//! The state machine: committed entries applied to the tables, at a start and after each round.
+//! Applies committed entries to the replicated state, at startup and after each round.
 
 use super::{decoded, Event, Proposal, RaftNode, RoundOutput};
 use crate::lease::{task_of, Command};
@@ -10,9 +10,8 @@
 use raft::eraftpb::{ConfChange, ConfChangeV2, Entry, EntryType};
 
 impl<S: LogStorage> RaftNode<S> {
-    /// Applies what the store has committed already: the state after a restart, disk kept. The
-    /// state of the kept snapshot first, since compaction dropped the entries that made it. The
-    /// configuration is kept by itself, and raft-rs has it already.
+    /// Restores the state at startup: the stored snapshot first, then the committed entries after it. The
+    /// Raft configuration is stored separately and already loaded by raft-rs.
     pub(super) fn replay(&mut self, upto: u64) -> raft::Result<()> {
         let snapshot = self.node.store().snapshot(0, 0)?;
         if !snapshot.get_data().is_empty() {
@@ -46,7 +45,7 @@
     }
 
     pub(super) fn apply_said(&mut self, entry: &Entry) {
-        // A new leader's first entry is empty.
+        // The first entry of a new leader is empty.
         let Ok(proposal) = serde_json::from_slice::<Proposal>(entry.get_data()) else { return };
         let answer = match proposal.entry {
             LogCommand::Lease(command) => self.apply_lease(entry.index, command),
@@ -99,7 +98,7 @@
         Answer::Done { outcome, left_ms }
     }
 
-    /// The applied state as a snapshot's bytes, for compaction and for members that fall behind.
+    /// Returns the replicated state serialized for a snapshot.
     pub fn snapshot_data(&self) -> Vec<u8> {
         serde_json::to_vec(&self.state).unwrap_or_default()
     }
--- a/coordination/src/raft_node/membership_changes.rs
+++ b/coordination/src/raft_node/membership_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of members: asked for, proposed one at a time, applied to the configuration and to the membership.
+//! Membership changes: request checks, proposals (one at a time) and their application.
 
 use super::{Event, RaftNode, CAUGHT_UP};
 use crate::log_storage::LogStorage;
@@ -11,15 +11,15 @@
     pub(super) fn ask_add(&mut self, req: u64, at: MemberAddr) -> Option<Answer> {
         let book = &self.state.book;
         if book.members().get(&at.id).is_some_and(|m| m.at == at) {
-            // The caller asks again: its answer was lost.
+            // A retry of a change that was already applied.
             return Some(Answer::Changed);
         }
         if at.id <= book.highest() {
-            let told = format!("id {}: a new member's id is above {}", at.id, book.highest());
+            let told = format!("id {}: the id of a new member must be above {}", at.id, book.highest());
             return Some(Answer::Refused(told));
         }
         if book.members().len() >= MOST_MEMBERS {
-            return Some(Answer::Refused(format!("a group has {MOST_MEMBERS} members at the most")));
+            return Some(Answer::Refused(format!("a group may have at most {MOST_MEMBERS} members")));
         }
         let context = serde_json::to_vec(&at).unwrap_or_default();
         self.change(req, at.id, ConfChangeType::AddLearnerNode, context)
@@ -31,17 +31,17 @@
             return Some(Answer::Changed);
         }
         if !members.values().any(|m| m.voter && m.at.id != id) {
-            return Some(Answer::Refused(format!("member {id} is the last one that votes")));
+            return Some(Answer::Refused(format!("member {id} is the last voter and cannot be removed")));
         }
         if id == self.id() {
-            // The lead goes to the one that is furthest first, and the caller asks that one.
+            // Transfer leadership first; the caller retries at the new leader.
             self.hand_over();
             return Some(Answer::Later { retry_after_ms: self.pace.tick_ms * 5 });
         }
         self.change(req, id, ConfChangeType::RemoveNode, Vec::new())
     }
 
-    /// Proposes one step of a change of members; another one that is under way goes first.
+    /// Proposes a change of one member. Returns `Later` while another change is in progress.
     pub(super) fn change(
         &mut self,
         req: u64,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Makes a learner that has caught up a voter.
+    /// Proposes to make a learner a voter if it has caught up.
     pub(super) fn promote(&mut self) {
         if self.node.raft.has_pending_conf() {
             return;
@@ -76,27 +76,27 @@
         let ready = |id: u64| {
             self.node.raft.prs().get(id).is_some_and(|p| p.recent_active && p.matched + CAUGHT_UP >= last)
         };
-        // Its store has come by its number: before that there is nobody to vote.
+        // Learners without an enlisted store are not running yet.
         let mut learners = self.state.book.members().values().filter(|m| !m.voter && m.number.is_some());
         if let Some(id) = learners.find(|m| ready(m.at.id)).map(|m| m.at.id) {
             let _ = self.change(0, id, ConfChangeType::AddNode, Vec::new());
         }
     }
 
-    /// Applies a change of members, in either of raft-rs's two forms, and keeps the new configuration.
+    /// Applies a membership change in either of raft-rs's encodings, and stores the new configuration.
     pub(super) fn apply_change<C: ConfChangeI + protobuf::Message>(
         &mut self,
         entry: &Entry,
     ) -> raft::Result<()> {
         self.book_change::<C>(entry);
-        // An empty one is what raft-rs left of a change that came while another was under way.
+        // raft-rs replaces a change with an empty entry if another one was in progress.
         let Ok(change) = C::parse_from_bytes(entry.get_data()) else { return Ok(()) };
         let goes = |c: &ConfChangeSingle| {
             c.get_change_type() == ConfChangeType::RemoveNode && c.node_id == self.node.raft.id
         };
         if self.leads() && change.as_v2().changes.iter().any(goes) {
-            // It was elected while its removal was under way. raft-rs stops the process of a leader
-            // that is no member; as a follower it still votes for those that have not heard yet.
+            // This member was elected while its removal was in progress. raft-rs panics on a leader that is
+            // not a member. As a follower, it still votes for members that have not applied the removal.
             let term = self.node.raft.term;
             self.node.raft.become_follower(term, raft::INVALID_ID);
         }
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Writes a change of members into the book.
+    /// Updates the replicated membership from a membership change.
     pub(super) fn book_change<C: ConfChangeI + protobuf::Message>(&mut self, entry: &Entry) {
         let Ok(change) = C::parse_from_bytes(entry.get_data()) else { return };
         let change = change.as_v2();
--- a/coordination/src/raft_node/reads.rs
+++ b/coordination/src/raft_node/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that a majority confirms before they are answered; all that came before a round share one confirmation.
+//! Linearizable reads. All reads received before a round share one read-index confirmation.
 
 use super::{PendingRead, RaftNode, ReadKind};
 use crate::lease::Grant;
@@ -8,7 +8,7 @@
 
 impl<S: LogStorage> RaftNode<S> {
     pub(super) fn read(&mut self, req: u64, what: ReadKind) -> Option<Answer> {
-        // raft-rs drops a read while the leader has committed nothing of its term.
+        // raft-rs drops read-index requests until the leader has committed an entry of its term.
         if !self.node.raft.commit_to_current_term() {
             return Some(Answer::Later { retry_after_ms: self.pace.tick_ms * 2 });
         }
@@ -16,7 +16,7 @@
         None
     }
 
-    /// Has the leader confirmed for all reads that came since the last round.
+    /// Requests one read-index confirmation for all reads received since the last round.
     pub(super) fn read_gathered(&mut self) {
         if self.gathered.is_empty() {
             return;
@@ -28,7 +28,8 @@
         self.node.read_index(self.batch.to_be_bytes().to_vec());
     }
 
-    /// Answers the reads whose index is applied, and has those ask again that nobody confirmed.
+    /// Answers the reads whose index is applied, and asks clients to retry those that were not confirmed
+    /// within an election timeout.
     pub(super) fn answer_reads(&mut self) {
         let (applied, now) = (self.node.raft.raft_log.applied, self.now);
         let done = |read: &PendingRead| read.index.is_some_and(|index| index <= applied) || read.until <= now;
@@ -53,14 +54,15 @@
         }
     }
 
-    /// The table for who asks. From here on a node is not taken to be down before this word has run out.
+    /// Returns the shard map for the requester. The requesting node is not marked down before this
+    /// confirmation has expired.
     pub(super) fn shard_map_confirmation(
         &mut self,
         node: Option<(NodeId, u64)>,
         have: u64,
     ) -> ShardMapConfirmation {
         let shards = &self.state.shards;
-        // One that is about to be named down is not confirmed any more: it joins again.
+        // A node that is proposed to be marked down is no longer confirmed and has to join again.
         let up = node.is_none_or(|n| shards.up().any(|up| up == n) && !self.downing.contains(&n));
         if let Some((id, _)) = node.filter(|_| up) {
             self.confirmed.insert(id, self.now);
--- a/coordination/src/raft_node/requests.rs
+++ b/coordination/src/raft_node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients as they come in: what is answered at once, refused, or proposed for the log.
+//! Client requests: answered at once, refused, or proposed to the log.
 
 use super::{Origin, Proposal, RaftNode, ReadKind};
 use crate::lease::Command;
@@ -8,8 +8,8 @@
 use crate::state_machine::LogCommand;
 
 impl<S: LogStorage> RaftNode<S> {
-    /// Takes a client's request numbered `req`. Answers at once when this member cannot take
-    /// it; otherwise the answer comes from a later [`RaftNode::advance`].
+    /// Processes a client request numbered `req`. Returns an answer if there is one at once; otherwise a
+    /// later [`RaftNode::advance`] returns it.
     pub fn ask(&mut self, req: u64, request: Request) -> Option<Answer> {
         if let Some(answer) = self.answer_at_once(&request) {
             return Some(answer);
@@ -33,9 +33,12 @@
             Request::Copies(change) => LogCommand::Copies(change),
             Request::Table { node, have } => return self.read(req, ReadKind::Table(node, have)),
             Request::Propose { base, rules } => match rules.outside(&self.guard) {
-                // A proxy in safe mode forbids what the guard covers, and may meet any version.
+                // A proxy in safe mode blocks everything the guard covers. Versions within the guard
+                // therefore never block more than safe mode.
                 Some((field, name)) => {
-                    return Some(Answer::Refused(format!("{field}: '{name}' is not in the guard")))
+                    return Some(Answer::Refused(format!(
+                        "{field}: '{name}' is not covered by versions.guard"
+                    )))
                 }
                 None => LogCommand::Propose { base, rules },
             },
@@ -55,7 +58,7 @@
         }
     }
 
-    /// What any member answers by itself, and what no client may ask.
+    /// Returns the answers that need no leader, and refuses commands that clients may not send.
     fn answer_at_once(&self, request: &Request) -> Option<Answer> {
         let refused = |why: &str| Some(Answer::Refused(why.to_owned()));
         match request {
@@ -64,25 +67,24 @@
                 let members = self.state.book.members().values();
                 Some(Answer::Members(members.map(|m| (m.at.id, m.at.client)).collect()))
             }
-            // A handshake is the host's to answer: it knows who founded the group.
-            Request::Hello => refused("this member is live"),
-            // Only a leader's clock says that a grant ran out.
-            Request::Lease(Command::Expire { .. }) => refused("an expiry is no client's to ask for"),
-            Request::Copies(ShardMapChange::Down { .. }) => refused("who is down is the leader's to say"),
+            // The host answers `Hello` during startup, because it knows the founding members.
+            Request::Hello => refused("this member is already running"),
+            // Only the leader may expire a grant, based on its own clock.
+            Request::Lease(Command::Expire { .. }) => refused("clients may not expire leases"),
+            Request::Copies(ShardMapChange::Down { .. }) => refused("only the leader may mark nodes as down"),
             _ => None,
         }
     }
 
-    /// Whom to ask instead, as far as this member knows.
+    /// Returns the known leader and its client address.
     fn not_leader(&self) -> Answer {
         let leader = Some(self.leader()).filter(|&l| l != 0);
         let at = leader.and_then(|l| self.state.book.members().get(&l)).map(|m| m.at.client);
         Answer::NotLeader { leader, at }
     }
 
-    /// A refusal that needs no entry: the task is another's as this leader has it. Nobody acts on a
-    /// refusal, so one that is out of date costs its asker time and nothing else; and most of what
-    /// a large fleet asks is this.
+    /// Refuses an acquire of a held task without a log entry. An outdated refusal is harmless: the client
+    /// only retries later. This keeps waiting clients from filling the log.
     pub(super) fn held_by_another(&mut self, command: &Command) -> Option<Answer> {
         let Command::Acquire { task, holder, .. } = command else { return None };
         let grant = self.state.leases.grants().get(task).filter(|g| g.holder != *holder)?;
--- a/coordination/src/raft_node/timers.rs
+++ b/coordination/src/raft_node/timers.rs
@@ -1,4 +1,4 @@
-//! What a leader proposes when its clock says so, and what a change of the leader resets.
+//! Time-based proposals of the leader, and the state reset when the leader changes.
 
 use super::{Event, Origin, RaftNode};
 use crate::log_storage::LogStorage;
@@ -8,7 +8,7 @@
 use rand::RngExt;
 
 impl<S: LogStorage> RaftNode<S> {
-    /// Proposes that the pending version is in force once its time has come.
+    /// Proposes to bring the pending version into force once its delay has passed.
     pub(super) fn force_due(&mut self) {
         let Some(number) = self.state.versions.next().map(|v| v.number) else { return };
         if !self.forced && self.now >= self.pending_since + self.terms.delay_ms() {
@@ -16,8 +16,8 @@
         }
     }
 
-    /// raft-rs draws the ticks before an election from the thread's random numbers; drawn here, a
-    /// run in virtual time is the same for the same seed.
+    /// Draws the election timeout from the node's own generator. raft-rs uses the thread's generator, which
+    /// would make simulations irreproducible.
     pub(super) fn draw_patience(&mut self) {
         let (term, role) = (self.node.raft.term, self.node.raft.state);
         if (self.patience.1, self.patience.2) != (term, role) {
@@ -36,18 +36,18 @@
             self.out.events.push(Event::Leader { id: leader, term: self.node.raft.term });
         }
         if leader == self.id() {
-            // What the last leader counted is lost with it: every grant runs a full TTL again.
+            // The elapsed time of the last leader is unknown, so every grant gets a full TTL.
             self.expiries.restart(&self.state.leases, self.now);
             self.expiring.clear();
             self.crowds.clear();
             (self.pending_since, self.forced) = (self.now, false);
-            // Whom the last leader has confirmed, and when, is not known here.
+            // The confirmations given by the last leader are unknown, too.
             self.leads_since = self.now;
             self.confirmed.clear();
             self.downing.clear();
         } else {
-            // Entries proposed here may still commit under the new leader; the client asks
-            // again, and each request is safe to repeat.
+            // Entries proposed here may still commit under the new leader. Clients retry, and every request
+            // is idempotent.
             let lost = std::mem::take(&mut self.waiting);
             let gathered = std::mem::take(&mut self.gathered);
             let reads = std::mem::take(&mut self.reads).into_values().flat_map(|r| r.asked);
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Proposes that starts of nodes are down which were not confirmed for longer than any confirmation is good.
+    /// Proposes to mark nodes as down that were not confirmed for longer than any confirmation is valid.
     pub(super) fn name_silent(&mut self) {
         let (since, now, silent) = (self.leads_since, self.now, self.terms.delay_ms());
         let heard = |id: &NodeId| self.confirmed.get(id).copied().unwrap_or(since).max(since);
         let gone: Vec<_> = self.state.shards.up().filter(|(id, _)| now >= heard(id) + silent).collect();
         for (id, start) in gone {
             if self.downing.insert((id, start)) {
-                // No member's: the entry answers no client's request.
+                // Proposed without an origin: no client waits for this entry.
                 let down = LogCommand::Copies(ShardMapChange::Down { id, start });
                 if self.propose(Origin::default(), 0, down).is_err() {
                     self.downing.remove(&(id, start));
--- a/coordination/src/retry_pacing/tests.rs
+++ b/coordination/src/retry_pacing/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// So many clients that come back when they are told, over a minute: requests in its last ten seconds.
+/// Simulates `clients` that retry as instructed for a minute. Returns the request rate of the last ten
+/// seconds.
 fn asks_per_s(clients: usize) -> f64 {
     let (mut crowd, ttl) = (RetryPacer::default(), 5_000);
     let mut next: Vec<Millis> = (0..clients as u64).map(|n| n * 7 % 1_600).collect();
@@ -18,6 +19,6 @@
 fn few_ask_each_third_of_the_ttl_and_many_no_more_than_is_wanted() {
     assert!((5.0..7.0).contains(&asks_per_s(10)), "{}", asks_per_s(10));
     assert!((40.0..62.0).contains(&asks_per_s(200)), "{}", asks_per_s(200));
-    // Past the longest wait it grows again, by a sixth of what it was.
+    // Once all clients wait for the maximum delay, the rate grows with their number.
     assert!((90.0..130.0).contains(&asks_per_s(1_000)), "{}", asks_per_s(1_000));
 }
--- a/coordination/src/session.rs
+++ b/coordination/src/session.rs
@@ -1,5 +1,5 @@
-//! All tasks of one process towards the group, without I/O: whom to ask, what, and what each
-//! answer means. A thin driver owns the one connection and the clock.
+//! Session of one process with the lease group, without I/O: which member to connect to, which requests to
+//! send, and how to handle the answers. The driver owns the connection and the clock.
 
 use std::net::SocketAddr;
 
@@ -13,18 +13,19 @@
 use crate::membership::MOST_MEMBERS;
 use crate::protocol::{Answer, Request};
 
-/// The bit that numbers of requests for a confirmation have; no task's gets so high.
+/// Flag in the request numbers of confirmations. Request numbers of tasks never reach this bit.
 const CONFIRM: u64 = 1 << 63;
-/// The number of the request for the members; those of tasks are higher.
+/// Request number of the members request. Request numbers of tasks are greater.
 const LEARN: u64 = 0;
-/// How often a client asks who the members are, while it stays with one.
+/// Interval between requests for the member list, in milliseconds.
 const LEARN_EVERY: Millis = 30_000;
 
-/// Whom a client may ask: a member's id and where clients reach it.
+/// Id and client address of a group member.
 pub type Endpoint = (u64, SocketAddr);
 
-/// Where to go from a member that does not lead: through the file's own door for it, since that
-/// may lead through a relay; else where the group's book says; else to the next in the file.
+/// Returns the address of the member to try after `from`: the configured address of the known leader, else
+/// its advertised address, else the next member in the list. The configured address comes first because it
+/// may lead through a relay.
 pub fn next_endpoint(
     doors: &[Endpoint],
     from: SocketAddr,
@@ -32,7 +33,7 @@
     at: Option<SocketAddr>,
 ) -> SocketAddr {
     let listed = leader.and_then(|id| doors.iter().find(|(d, _)| *d == id)).map(|&(_, door)| door);
-    // One that names itself, or nobody, is passed over.
+    // A leader hint that points back to `from` is ignored.
     if let Some(door) = listed.or(at).filter(|&door| door != from) {
         return door;
     }
@@ -40,16 +41,16 @@
     doors[place % doors.len()].1
 }
 
-/// What a process holds and wants of the group.
+/// Leases and configuration version of one process, and its current group member.
 pub struct Session {
     tasks: Vec<TaskClient>,
-    /// Where the process acts on versions.
+    /// Set if the process applies configuration versions.
     versions: Option<Confirmer>,
-    /// The file's doors first, then those of members that the group has told of since.
+    /// Configured members, followed by members learnt from the group.
     doors: Vec<Endpoint>,
     of_file: usize,
     door: SocketAddr,
-    /// When to ask the member at the door for the others.
+    /// When to request the member list again.
     learn_at: Millis,
     dial_at: Millis,
     failures: u32,
@@ -57,7 +58,8 @@
 }
 
 impl Session {
-    /// One that wants `tasks`, each with its TTL, for `holder`; `doors` has at least one.
+    /// Creates a session that acquires the lease of each of `tasks`, given by name and TTL, for `holder`.
+    /// `doors` must not be empty. `seed` seeds the choice of the first member and the jitter.
     pub fn new(
         doors: Vec<Endpoint>,
         holder: &str,
@@ -82,28 +84,28 @@
         }
     }
 
-    /// Keeps a view of the versions confirmed, too.
+    /// Adds a confirmer for configuration versions.
     pub fn with_versions(mut self, drift: Drift) -> Session {
         self.versions = Some(Confirmer::new(drift));
         self
     }
 
-    /// What the process acts on, where it acts on versions.
+    /// Returns the confirmer, if the process applies configuration versions.
     pub fn versions(&mut self) -> Option<&mut Confirmer> {
         self.versions.as_mut()
     }
 
-    /// Whom to ask, and from when on it may be dialled.
+    /// Returns the address of the current member and the earliest time to connect to it.
     pub fn door(&self) -> (SocketAddr, Millis) {
         (self.door, self.dial_at)
     }
 
-    /// The tasks, by their place.
+    /// Returns the lease clients, in the order of the tasks passed to [`Session::new`].
     pub fn tasks(&self) -> &[TaskClient] {
         &self.tasks
     }
 
-    /// The requests to send now, each with its number.
+    /// Returns the requests to send now, with their request numbers.
     pub fn due(&mut self, now: Millis) -> Vec<(u64, Request)> {
         let count = self.tasks.len() as u64;
         let clients = self.tasks.iter_mut().zip(0u64..);
@@ -113,7 +115,7 @@
         if let Some((number, have)) = self.versions.as_mut().and_then(|v| v.due(now)) {
             due.push((CONFIRM | number, Request::Confirm { have }));
         }
-        // Along with what is asked anyway, now and then: the members of the file may all be gone one day.
+        // Refreshed along with other requests, because all configured members may have been replaced.
         if now >= self.learn_at && !due.is_empty() {
             self.learn_at = now + LEARN_EVERY;
             due.push((LEARN, Request::Members));
@@ -121,19 +123,19 @@
         due
     }
 
-    /// When something is due next.
+    /// Returns when [`Session::due`] has to be called next.
     pub fn next_due(&self) -> Millis {
         let versions = self.versions.as_ref().map(Confirmer::next_due);
         self.tasks.iter().map(TaskClient::next_due).chain(versions).min().unwrap_or(Millis::MAX)
     }
 
-    /// Whether the member at the door is of no use: what it was asked has not come in time.
+    /// Returns whether a request to the current member has timed out.
     pub fn stalled(&self, now: Millis) -> bool {
         self.versions.as_ref().is_some_and(|v| v.is_timed_out(now))
             || self.tasks.iter().any(|t| t.is_timed_out(now))
     }
 
-    /// Takes an answer; true where another member is to be asked from here on.
+    /// Processes an answer. Returns `true` if the driver has to connect to another member.
     pub fn answered(&mut self, number: u64, answer: &Answer, now: Millis) -> bool {
         let nobody = matches!(answer, Answer::NotLeader { leader: None, .. });
         self.failures = if nobody { self.failures.saturating_add(1) } else { 0 };
@@ -162,12 +164,12 @@
         let Answer::NotLeader { leader, at } = answer else { return false };
         let to = next_endpoint(&self.doors, self.door, *leader, *at);
         if leader.is_none() {
-            // Nobody leads yet, and asking round in circles makes none.
+            // No leader is elected yet: wait before trying the next member.
             self.wait(now);
         }
         let moves = self.move_to(to);
         if moves {
-            // What else was asked there is answered by nobody now: it goes to the new door.
+            // Other requests in flight to the old member are sent again to the new one.
             self.lost(now);
         }
         moves
@@ -185,7 +187,8 @@
         std::mem::replace(&mut self.door, to) != to
     }
 
-    /// The member could not be reached, or did not answer in time: the next one, after a pause.
+    /// Selects the next member and a delay before connecting, after the current one was unreachable or did
+    /// not answer in time.
     pub fn broken(&mut self, now: Millis) {
         self.lost(now);
         self.move_to(next_endpoint(&self.doors, self.door, None, None));
@@ -194,20 +197,20 @@
     }
 
     fn wait(&mut self, now: Millis) {
-        // Once round without a pause of note, then longer ones, with jitter.
+        // The back-off grows once all members have been tried.
         let rounds = self.failures / self.doors.len() as u32;
         let longest = (BACKOFF_MS.0 << rounds.min(6)).min(BACKOFF_MS.1);
         self.dial_at = now + self.rng.random_range(BACKOFF_MS.0 / 4..=longest);
     }
 
-    /// The side acted on refused this task's token.
+    /// Handles the refusal of the fencing token of the task at index `place`.
     pub fn fenced(&mut self, place: usize, token: u64, now: Millis) {
         if let Some(task) = self.tasks.get_mut(place) {
             task.fenced(token, now);
         }
     }
 
-    /// Gives all grants back: the process is leaving.
+    /// Releases all leases, before the process exits.
     pub fn leave(&mut self, now: Millis) {
         self.tasks.iter_mut().for_each(|t| t.stop_holding(now));
     }
--- a/coordination/src/session/tests.rs
+++ b/coordination/src/session/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(next_endpoint(&doors, door(1), Some(3), Some(door(33))), door(3));
     assert_eq!(next_endpoint(&doors, door(1), Some(4), Some(door(44))), door(44));
     assert_eq!(next_endpoint(&doors, door(3), None, None), door(1));
-    // A leader that one member believes in and that says itself that it is none.
+    // A leader hint that points back to the same member is ignored.
     assert_eq!(next_endpoint(&doors, door(3), Some(3), None), door(1));
 }
 
@@ -50,7 +50,7 @@
     s.due(0);
     s.answered(LEARN, &Answer::Members(vec![(1, door(11)), (4, door(4))]), 5);
     s.broken(10);
-    assert_eq!(s.door().0, door(4), "the file's own door to 1 stays, and was just asked");
+    assert_eq!(s.door().0, door(4), "the configured address of member 1 was just tried, and is not replaced");
     s.broken(20);
     assert_eq!(s.door().0, door(1));
 }
--- a/coordination/src/shard_map.rs
+++ b/coordination/src/shard_map.rs
@@ -1,5 +1,5 @@
-//! The table of shards: who holds which copies. Applied from the group's log, which decides membership and nothing
-//! else: per shard an epoch, a primary, the in-sync set, and who is on the way into it. `docs/copies-design.md`.
+//! The replicated shard map: epoch, primary, in-sync set and joining replicas of each shard. The group's log
+//! decides only membership of shards, not their data. See `docs/copies-design.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,52 +8,53 @@
 
 use crate::lease::{is_name, Millis};
 
-/// A node is its store: the number that this was made with. An emptied disk is another node.
+/// Id of a replication node: the number its store was created with. A node with an emptied disk gets a new
+/// id.
 pub type NodeId = u64;
 
-/// Shards, copies of one and nodes at the most, and bytes of a name.
+/// Maximum number of shards.
 pub const MOST_SHARDS: u32 = 1024;
-/// See [`MOST_SHARDS`].
+/// Maximum number of replicas per shard.
 pub const MOST_COPIES: usize = 5;
-/// See [`MOST_SHARDS`].
+/// Maximum number of nodes.
 pub const MOST_NODES: usize = 1024;
-/// See [`MOST_SHARDS`].
+/// Maximum length of a node's name, machine or zone, in bytes.
 pub const MOST_NAME: usize = 64;
 
-/// Where a node is.
+/// Identity, location and address of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The node.
+    /// Id of the node.
     pub id: NodeId,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// Its machine: two proxies of one machine are one machine.
+    /// Name of the machine. Replicas of a shard are placed on different machines.
     pub machine: String,
-    /// Its zone.
+    /// Name of the zone. Replicas are spread over zones where possible.
     pub zone: String,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub peer: SocketAddr,
 }
 
-/// A node as the group knows it.
+/// A node as recorded in the shard map.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where it is.
+    /// Identity, location and address.
     pub at: NodeInfo,
-    /// How often its store has been started, as its last word was.
+    /// Number of the node's last start, incremented each time its store is opened.
     pub start: u64,
-    /// Whether it asks.
+    /// Whether the node is up, that is requests confirmations.
     pub up: bool,
 }
 
-/// How a fleet keeps copies: the first node to come says so, and all later ones have to say the same.
+/// Replication parameters of the fleet. Set by the first node that joins; later nodes must have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardMapParameters {
-    /// Shards.
+    /// Number of shards.
     pub shards: u32,
-    /// Copies of each that are aimed at.
+    /// Target number of replicas per shard.
     pub copies: usize,
-    /// With fewer in sync a shard takes no writes.
+    /// Minimum number of in-sync replicas for a shard to accept writes.
     pub least: usize,
 }
 
@@ -64,96 +65,96 @@
 }
 
 impl ShardMapParameters {
-    /// The field at fault, and what would do.
+    /// Validates the parameters. The error contains the invalid field and its allowed range.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         if !(1..=MOST_SHARDS).contains(&self.shards) {
-            return Err(("shards", format!("from 1 to {MOST_SHARDS}")));
+            return Err(("shards", format!("must be from 1 to {MOST_SHARDS}")));
         }
         if !(1..=MOST_COPIES).contains(&self.copies) {
-            return Err(("copies", format!("from 1 to {MOST_COPIES}")));
+            return Err(("copies", format!("must be from 1 to {MOST_COPIES}")));
         }
         if !(1..=self.copies).contains(&self.least) {
-            return Err(("least", "from 1 to copies".to_owned()));
+            return Err(("least", "must be from 1 to copies".to_owned()));
         }
         Ok(())
     }
 }
 
-/// One shard.
+/// Replicas of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Shard {
-    /// Goes up with every change of the primary or the in-sync set.
+    /// Increases with every change of the primary or the in-sync set.
     pub epoch: u64,
-    /// Who numbers its writes, if anybody can.
+    /// Node that orders the writes, if one is available.
     pub primary: Option<NodeId>,
-    /// Who has everything that was promised.
+    /// Nodes that have every acknowledged write.
     pub in_sync: BTreeSet<NodeId>,
-    /// Who is being brought there.
+    /// Nodes that are being brought in sync.
     pub joining: BTreeSet<NodeId>,
 }
 
-/// What may be asked of the table.
+/// A change of the shard map. Each is one log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ShardMapChange {
-    /// A node comes, with the number of its start.
+    /// A node joins, or rejoins after a restart.
     Join {
-        /// Where it is.
+        /// Identity, location and address of the node.
         at: NodeInfo,
-        /// The number of its start.
+        /// Start number of the node.
         start: u64,
-        /// How it takes the fleet to keep copies.
+        /// Replication parameters in the node's settings.
         shape: ShardMapParameters,
     },
-    /// The leader's decision that a start of a node does not ask any more.
+    /// Marks a node as down that stopped requesting confirmations. Proposed only by the leader.
     Down {
-        /// The node.
+        /// Id of the node.
         id: NodeId,
-        /// Its start.
+        /// Start number of the node.
         start: u64,
     },
-    /// A primary goes on without a replica.
+    /// The primary removes a replica from the shard.
     Drop {
-        /// The shard.
+        /// Index of the shard.
         shard: u32,
-        /// The epoch that the primary is of.
+        /// Epoch of the shard as known to the primary.
         epoch: u64,
-        /// The primary.
+        /// Id of the primary.
         by: NodeId,
-        /// The replica.
+        /// Id of the replica.
         node: NodeId,
     },
-    /// A replica has all that the primary has.
+    /// The primary reports that a joining replica is in sync.
     Caught {
-        /// The shard.
+        /// Index of the shard.
         shard: u32,
-        /// The epoch that the primary is of.
+        /// Epoch of the shard as known to the primary.
         epoch: u64,
-        /// The primary.
+        /// Id of the primary.
         by: NodeId,
-        /// The replica.
+        /// Id of the replica.
         node: NodeId,
     },
-    /// An operator gives a shard up of which no copy is left: it begins anew, empty.
+    /// An operator resets a shard that has no available replica. The shard starts empty.
     GiveUp {
-        /// The shard.
+        /// Index of the shard.
         shard: u32,
-        /// Its epoch, as the operator was shown it.
+        /// Epoch of the shard as shown to the operator.
         epoch: u64,
     },
 }
 
-/// What became of a change.
+/// Result of a shard map change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ShardMapOutcome {
-    /// It is made, or was before.
+    /// The change was applied, now or before.
     Done,
-    /// It speaks of an epoch or a start that is over.
+    /// The change refers to an outdated epoch or start number.
     Stale,
-    /// It cannot be made, and why.
+    /// The change is not allowed. Contains the reason.
     Refused(String),
 }
 
-/// The whole table.
+/// The replicated shard map. A deterministic function of the applied changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardMap {
     version: u64,
@@ -163,27 +164,27 @@
 }
 
 impl ShardMap {
-    /// Goes up with every change.
+    /// Returns the version, which increases with every effective change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How copies are kept, once a node has come.
+    /// Returns the replication parameters, or `None` before the first node has joined.
     pub fn shape(&self) -> Option<ShardMapParameters> {
         self.shape
     }
 
-    /// The nodes.
+    /// Returns the nodes by id.
     pub fn nodes(&self) -> &BTreeMap<NodeId, NodeRecord> {
         &self.nodes
     }
 
-    /// The shards, by their number.
+    /// Returns the shards, by index.
     pub fn shards(&self) -> &[Shard] {
         &self.shards
     }
 
-    /// Starts of nodes that are taken to ask.
+    /// Returns the id and start number of each node that is up.
     pub fn up(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
         self.nodes.values().filter(|n| n.up).map(|n| (n.at.id, n.start))
     }
@@ -192,7 +193,7 @@
         self.nodes.get(&id).is_some_and(|n| n.up)
     }
 
-    /// Makes a change. A function of the changes alone, the same at every member.
+    /// Applies a change and assigns new replicas where shards need them.
     pub fn apply(&mut self, change: &ShardMapChange) -> ShardMapOutcome {
         let before = self.clone();
         let changed = match change {
@@ -214,7 +215,9 @@
     fn join(&mut self, at: &NodeInfo, start: u64, shape: ShardMapParameters) -> ShardMapOutcome {
         for (what, name) in [("name", &at.name), ("machine", &at.machine), ("zone", &at.zone)] {
             if !is_name(name, MOST_NAME) {
-                return ShardMapOutcome::Refused(format!("copies.{what}: 1 to {MOST_NAME} plain bytes"));
+                return ShardMapOutcome::Refused(format!(
+                    "copies.{what}: must be 1 to {MOST_NAME} bytes of A-Z a-z 0-9 . _ : / @ -"
+                ));
             }
         }
         if let Err((field, why)) = shape.check() {
@@ -223,7 +226,7 @@
         match self.shape {
             Some(of) if of != shape => {
                 return ShardMapOutcome::Refused(format!(
-                    "copies: the fleet keeps {of}, this node's file says {shape}"
+                    "copies: settings of this node ({shape}) differ from those of the fleet ({of})"
                 ))
             }
             Some(_) => {}
@@ -234,29 +237,30 @@
         }
         match self.nodes.get(&at.id) {
             Some(known) if start == known.start && known.up && known.at == *at => return ShardMapOutcome::Done,
-            // Its word came late, and this start was taken to be gone meanwhile: it comes again as another.
+            // The node was marked down before this join arrived. It has to join with a new start number.
             Some(known) if start == known.start && !known.up => return ShardMapOutcome::Stale,
             Some(known) if start <= known.start => {
                 return ShardMapOutcome::Refused(format!(
-                    "this disk's start {start} is not above {}, its last one: it was put back from an earlier time, \
-                     or is used twice; empty it",
+                    "start number {start} of this store is not above its last one, {}: the disk was restored from a \
+                     backup or is used by two nodes; delete the store",
                     known.start
                 ))
             }
             Some(_) => {}
             None if self.nodes.len() >= MOST_NODES => {
-                // What is down and holds nothing is forgotten first.
+                // Remove a node that is down and stores no in-sync replica.
                 let of_use = |id: &NodeId| self.shards.iter().any(|s| s.in_sync.contains(id));
                 let gone = self.nodes.iter().find(|(id, n)| !n.up && !of_use(id)).map(|(id, _)| *id);
                 match gone {
                     Some(id) => drop(self.nodes.remove(&id)),
-                    None => return ShardMapOutcome::Refused(format!("{MOST_NODES} nodes are there already")),
+                    None => return ShardMapOutcome::Refused(format!("the fleet already has the maximum of {MOST_NODES} nodes")),
                 }
             }
             None => {}
         }
         self.nodes.insert(at.id, NodeRecord { at: at.clone(), start, up: true });
-        // Its earlier process, if there was one, is gone and with it what it had in memory; its disk has all.
+        // After a restart, the node's memory is lost but its disk has every acknowledged write. A new epoch
+        // invalidates messages of the earlier run.
         for shard in &mut self.shards {
             let alone = shard.primary.is_none() && shard.in_sync.contains(&at.id);
             if shard.primary == Some(at.id) || alone {
@@ -275,15 +279,15 @@
         let least = self.shape.map_or(1, |s| s.least);
         let up: BTreeSet<NodeId> = self.up().map(|(id, _)| id).collect();
         for shard in &mut self.shards {
-            // A new epoch makes stale what a primary may have asked for it: it would be taken in without what was kept
-            // while it was gone.
+            // A new epoch invalidates a pending `Caught` for this node: it would add a replica that missed
+            // the writes made while it was down.
             if shard.joining.remove(&id) {
                 shard.epoch += 1;
             }
             if !shard.in_sync.contains(&id) {
                 continue;
             }
-            // It stays in sync where too few others would be left: its disk may be the one that comes back.
+            // Keep the node in sync if too few would remain: its disk may be the first one to return.
             let dropped = shard.in_sync.len() > least && shard.in_sync.remove(&id);
             if shard.primary == Some(id) {
                 shard.primary = shard.in_sync.iter().copied().find(|n| up.contains(n));
@@ -303,7 +307,7 @@
     fn drop_one(&mut self, shard: u32, of: (u64, NodeId), node: NodeId) -> ShardMapOutcome {
         let least = self.shape.map_or(1, |s| s.least);
         let Some(shard) = self.of_primary(shard, of) else { return ShardMapOutcome::Stale };
-        // Before it was taken in it may be let go of at any time; a new epoch makes its taking in stale.
+        // A joining replica can be removed at any time. The new epoch invalidates a pending `Caught`.
         if shard.joining.remove(&node) {
             shard.epoch += 1;
             return ShardMapOutcome::Done;
@@ -313,7 +317,7 @@
         }
         if shard.in_sync.len() <= least {
             return ShardMapOutcome::Refused(format!(
-                "{} in sync, of which {least} have to stay",
+                "cannot drop the replica: {} are in sync, and at least {least} are required",
                 shard.in_sync.len()
             ));
         }
@@ -330,7 +334,7 @@
             return ShardMapOutcome::Stale;
         }
         shard.in_sync.insert(node);
-        // Those that were kept only since too few were left may go now.
+        // Remove nodes that are down and were kept only to preserve the minimum.
         let gone: Vec<NodeId> = shard.in_sync.iter().copied().filter(|n| !up.contains(n)).collect();
         for id in gone {
             if shard.in_sync.len() > least {
@@ -346,15 +350,15 @@
             return ShardMapOutcome::Stale;
         };
         if at.in_sync.iter().any(|id| self.is_up(*id)) {
-            return ShardMapOutcome::Refused(format!("shard {shard} has a copy that is up"));
+            return ShardMapOutcome::Refused(format!("shard {shard} has an in-sync replica that is up"));
         }
         let shard = &mut self.shards[shard as usize];
         *shard = Shard { epoch: shard.epoch + 1, ..Shard::default() };
         ShardMapOutcome::Done
     }
 
-    /// Finds machines for the copies that are wanting: as few as the change demands, on other machines, in other
-    /// zones where there are some, on who holds least.
+    /// Assigns nodes to shards that lack replicas. Each replica of a shard is on another machine; other
+    /// zones and nodes with fewer replicas are preferred.
     fn place(&mut self) {
         let Some(shape) = self.shape else { return };
         let mut held: BTreeMap<NodeId, usize> = self.up().map(|(id, _)| (id, 0)).collect();
@@ -366,7 +370,7 @@
         for at in 0..self.shards.len() {
             loop {
                 let shard = &self.shards[at];
-                // Of a shard without a primary there is nobody to copy from; an empty one has nothing to be copied.
+                // Without a primary there is no source to copy from, unless the shard is empty.
                 let fresh = shard.in_sync.is_empty();
                 if shard.primary.is_none() && !fresh {
                     break;
@@ -395,7 +399,7 @@
                 *held.entry(id).or_default() += 1;
                 let shard = &mut self.shards[at];
                 if fresh {
-                    // Its first copy is in sync with nothing.
+                    // The first replica of an empty shard is in sync at once.
                     shard.in_sync.insert(id);
                     shard.primary = Some(id);
                     shard.epoch += 1;
@@ -407,16 +411,16 @@
     }
 }
 
-/// The group's word on the table, good for a time from when it was asked for.
+/// Confirmation of the shard map, valid for a limited time from when it was requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardMapConfirmation {
-    /// For how long.
+    /// Validity in milliseconds.
     pub good_ms: Millis,
-    /// The version in force.
+    /// Version of the current shard map.
     pub version: u64,
-    /// The table, for who has an older one.
+    /// The shard map, unless the requester already has this version.
     pub table: Option<Box<ShardMap>>,
-    /// Whether the asker is taken to be up; one that is not joins again.
+    /// Whether the requesting node is up. If not, it has to join again.
     pub up: bool,
 }
 
--- a/coordination/src/shard_map/tests.rs
+++ b/coordination/src/shard_map/tests.rs
@@ -11,7 +11,7 @@
     t.apply(&ShardMapChange::Join { at: at(id, machine, "z"), start, shape: SHAPE })
 }
 
-/// Brings every joining replica in.
+/// Marks every joining replica as in sync.
 fn settle(t: &mut ShardMap) {
     for n in 0..SHAPE.shards {
         while let Some(node) = t.shards()[n as usize].joining.first().copied() {
@@ -34,7 +34,7 @@
 #[test]
 fn copies_lie_on_different_machines_and_a_loss_moves_no_more_than_it_must() {
     let mut t = four();
-    // A second proxy of one machine takes no copy beside the first.
+    // A second proxy on the same machine gets no replica of the same shard.
     join(&mut t, 5, "a", 1);
     settle(&mut t);
     for s in t.shards() {
@@ -54,7 +54,7 @@
             assert_eq!(old, new);
         }
     }
-    // Twice is once.
+    // Marking the same start as down again has no effect.
     assert_eq!(t.apply(&ShardMapChange::Down { id: 2, start: 1 }), ShardMapOutcome::Stale);
 }
 
@@ -80,7 +80,7 @@
 fn an_emptied_disk_is_another_node_and_one_put_back_is_refused() {
     let mut t = four();
     let was = t.shards().to_vec();
-    // Restarted with its disk: in sync as before, in a new epoch where it is primary.
+    // A node restarted with its disk stays in sync, with a new epoch where it is primary.
     assert_eq!(join(&mut t, 1, "a", 2), ShardMapOutcome::Done);
     for (old, new) in was.iter().zip(t.shards()) {
         assert_eq!(old.in_sync, new.in_sync);
@@ -88,10 +88,10 @@
     }
     let put_back = join(&mut t, 1, "a", 2 - 1);
     assert!(
-        matches!(&put_back, ShardMapOutcome::Refused(why) if why.contains("earlier time")),
+        matches!(&put_back, ShardMapOutcome::Refused(why) if why.contains("restored from a backup")),
         "{put_back:?}"
     );
-    // Emptied, it has another number: it holds nothing until it is brought there.
+    // With an emptied disk, the node has a new id and stores no replica until it has caught up.
     assert_eq!(t.apply(&ShardMapChange::Down { id: 1, start: 2 }), ShardMapOutcome::Done);
     assert_eq!(join(&mut t, 9, "a", 1), ShardMapOutcome::Done);
     assert!(t.shards().iter().all(|s| !s.in_sync.contains(&9)));
@@ -104,17 +104,20 @@
         assert_eq!(t.apply(&ShardMapChange::Down { id, start: 1 }), ShardMapOutcome::Done);
     }
     assert!(t.shards().iter().all(|s| s.primary.is_none() && s.in_sync.len() >= SHAPE.least));
-    // A new machine gets none of them: it would be an empty copy.
+    // A new machine gets no replica, because there is no source to copy from.
     assert_eq!(join(&mut t, 7, "x", 1), ShardMapOutcome::Done);
     assert!(t.shards().iter().all(|s| s.primary.is_none() && s.joining.is_empty()));
     let kept = t.shards()[0].in_sync.clone();
     let first = *kept.first().unwrap();
-    // Any one disk that was in sync brings its shards back.
+    // A returning node that was in sync makes its shards available.
     assert_eq!(join(&mut t, first, "m", 2), ShardMapOutcome::Done);
     assert_eq!(t.shards()[0].primary, Some(first));
     let epoch = t.shards()[0].epoch;
     let gives_up = t.apply(&ShardMapChange::GiveUp { shard: 0, epoch });
-    assert!(matches!(&gives_up, ShardMapOutcome::Refused(why) if why.contains("is up")), "{gives_up:?}");
+    assert!(
+        matches!(&gives_up, ShardMapOutcome::Refused(why) if why.contains("has an in-sync replica that is up")),
+        "{gives_up:?}"
+    );
     let lost = t.shards().iter().position(|s| s.primary.is_none());
     if let Some(lost) = lost {
         let epoch = t.shards()[lost].epoch;
--- a/coordination/src/state_machine.rs
+++ b/coordination/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! What the group agrees on: the commands of its log, and the tables that they make, handed on whole in a snapshot.
+//! Commands of the replicated log and the state that they produce, as stored in snapshots.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,45 +7,45 @@
 use crate::shard_map::{ShardMap, ShardMapChange};
 use crate::versioned_config::{BlockRules, VersionedConfig};
 
-/// A command of the log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogCommand {
-    /// About a lease.
+    /// A lease command.
     Lease(Command),
-    /// A proposal of rules, made on version `base`.
+    /// Proposes a new configuration version.
     Propose {
-        /// The version it was made on.
+        /// Number of the version that the proposal is based on.
         base: u64,
-        /// What is to be forbidden.
+        /// Complete rules of the new version.
         rules: BlockRules,
     },
-    /// The leader's decision that a version is in force.
+    /// Brings the pending configuration version into force. Proposed only by the leader.
     Force {
-        /// The version.
+        /// Number of the version.
         number: u64,
     },
-    /// A new member's store says its number.
+    /// Registers the store of a new member.
     Enlist {
-        /// The member.
+        /// Member id.
         id: u64,
-        /// Its store's number.
+        /// Store number.
         number: u64,
     },
-    /// About who holds which copies.
+    /// A shard map change.
     Copies(ShardMapChange),
 }
 
-/// All that the group agrees on.
+/// The complete replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The leases.
+    /// Leases.
     pub leases: LeaseTable,
-    /// The members.
+    /// Members of the group.
     pub book: Membership,
-    /// The versions of what is forbidden.
+    /// Configuration versions.
     #[serde(default)]
     pub versions: VersionedConfig,
-    /// Who holds which copies.
+    /// Shard map.
     #[serde(default)]
     pub shards: ShardMap,
 }
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,7 +1,8 @@
-//! A member's storage on disk: raft-rs's `MemStorage` to read from, `redb` for what must outlive
-//! the process. Every round's snapshot, entries and hard state go into one write transaction,
-//! committed with `redb`'s immediate durability (an fsync) before [`LogStorage::keep`] returns, and so
-//! before the member hands out the messages and answers of that round.
+//! Durable storage of a member. Reads come from raft-rs's `MemStorage`; writes go to a `redb` database
+//! first.
+//!
+//! The snapshot, entries and hard state of a round are written in one transaction, which is committed with
+//! an fsync before [`LogStorage::keep`] returns.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -20,55 +21,55 @@
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 
-/// Why a store cannot be opened, read or written.
+/// Error of opening, reading or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The file is no store, or cannot be opened.
+    /// The file cannot be opened, or is not a store.
     #[error("{file}: {source}")]
     Open {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong with it.
+        /// Underlying error.
         source: redb::Error,
     },
-    /// The file cannot be made.
-    #[error("{file}: cannot make it: {source}")]
+    /// The file cannot be created.
+    #[error("{file}: cannot create store: {source}")]
     Create {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The store is another member's.
-    #[error("{file}: the store of member {owner}, not of {id}")]
+    /// The store belongs to another member.
+    #[error("{file}: store belongs to member {owner}, not to member {id}")]
     OtherMember {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Whose it is.
+        /// Id of the member that the store belongs to.
         owner: u64,
-        /// Who wanted it.
+        /// Id of the member that opened the store.
         id: u64,
     },
-    /// The database failed. From here on it takes no write before it is opened anew.
-    #[error("store: {0}")]
+    /// The database failed. All later writes fail until the store is reopened.
+    #[error("store: database error: {0}")]
     Database(#[from] redb::Error),
-    /// The founders are not what this package writes.
-    #[error("store: founders: {0}")]
+    /// The stored founding members cannot be decoded or encoded.
+    #[error("store: invalid founding members: {0}")]
     Founders(#[from] serde_json::Error),
-    /// A value is not the message that belongs there, or cannot be encoded.
-    #[error("store: {what}: {source}")]
+    /// A stored message cannot be decoded or encoded.
+    #[error("store: invalid {what}: {source}")]
     Message {
-        /// Which value.
+        /// Name of the value.
         what: &'static str,
-        /// What is wrong with it.
+        /// Underlying error.
         source: protobuf::ProtobufError,
     },
-    /// The parts do not make a log.
-    #[error("store: {what}: {source}")]
+    /// The stored parts do not form a valid log.
+    #[error("store: inconsistent {what}: {source}")]
     Log {
-        /// Which part.
+        /// Name of the part.
         what: &'static str,
-        /// What is wrong with it.
+        /// Underlying error.
         source: raft::Error,
     },
 }
@@ -91,7 +92,7 @@
     }
 }
 
-/// Decodes a value of the store; `what` is what an error calls it.
+/// Decodes a stored message. `what` names it in errors.
 fn decode<M: protobuf::Message>(bytes: &[u8], what: &'static str) -> Result<M, StoreError> {
     M::parse_from_bytes(bytes).map_err(|source| StoreError::Message { what, source })
 }
@@ -100,32 +101,32 @@
     message.write_to_bytes().map_err(|source| StoreError::Message { what, source })
 }
 
-/// What a store can be used for.
+/// State of a store when it is opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// New: nothing has been voted with it. The member finds out how to start.
+    /// A new store: nothing was voted with it. The member has to find out how to start.
     New,
-    /// A member of the group that these founded; its log goes on.
+    /// The store of a member of the group with these founding members.
     Member(Membership),
 }
 
-/// What the table of single values holds, by key.
+/// Keys of the `meta` table.
 mod key {
-    /// The member's id, 8 bytes, big-endian.
+    /// Member id: 8 bytes, big-endian.
     pub const ID: &str = "id";
-    /// The store's number, 8 bytes, big-endian.
+    /// Store number: 8 bytes, big-endian.
     pub const NUMBER: &str = "number";
-    /// The founders, JSON.
+    /// Founding members: JSON.
     pub const FOUNDERS: &str = "book";
-    /// raft-rs's hard state, protobuf.
+    /// raft-rs's hard state: protobuf.
     pub const HARD_STATE: &str = "hard";
-    /// raft-rs's configuration, protobuf.
+    /// raft-rs's configuration: protobuf.
     pub const CONF_STATE: &str = "conf";
-    /// raft-rs's snapshot with the state machine's bytes, protobuf.
+    /// raft-rs's snapshot, including the replicated state: protobuf.
     pub const SNAPSHOT: &str = "snap";
 }
 
-/// The single values of a store as they were found.
+/// Contents of the `meta` table.
 struct Values {
     id: Option<Vec<u8>>,
     number: Option<Vec<u8>>,
@@ -136,7 +137,7 @@
 }
 
 impl Values {
-    /// Reads them, and makes the tables where there are none.
+    /// Reads the values, and creates the tables if they do not exist.
     fn read(db: &Database) -> Result<Values, StoreError> {
         let txn = db.begin_write()?;
         let values = {
@@ -163,23 +164,22 @@
     bytes.try_into().map(u64::from_be_bytes).unwrap_or(0)
 }
 
-/// A member's store in one `redb` file.
+/// Store of a member in one `redb` file.
 ///
-/// Once a write or a sync has failed, every later one fails, too: the pages of a failed sync may be gone although a
-/// second sync succeeds, so nothing more is promised until the store is opened anew. What it holds can still be read.
+/// After a failed write or sync, all later writes fail until the store is reopened: the pages of a failed
+/// fsync may be lost even if a later fsync succeeds. Reads still work.
 pub struct DiskStore {
     mem: MemStorage,
     db: Database,
     number: u64,
     syncs: Cell<u64>,
-    /// The kept configuration has every change up to this entry.
+    /// Index up to which the stored configuration includes all membership changes.
     conf_index: Cell<u64>,
 }
 
 impl DiskStore {
-    /// Opens or makes the store of member `id` at `file`; `fresh` is the number of one that is
-    /// made now. A file that another member wrote is refused, so that one folder never votes
-    /// under two ids.
+    /// Opens the store of member `id` at `file`, or creates it with store number `fresh`. A store of another
+    /// member is refused, so that a data directory never votes under two ids.
     pub fn open(file: &Path, id: u64, fresh: u64) -> Result<(DiskStore, Stage), StoreError> {
         let name = file.display().to_string();
         if !file.exists() {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The same on any storage; `name` is what errors call it.
+    /// Like [`DiskStore::open`], on any storage backend. `name` is used in errors.
     pub fn open_backend(
         backend: impl StorageBackend,
         name: &str,
@@ -233,32 +233,32 @@
         Ok((store, Stage::Member(founders)))
     }
 
-    /// The number that tells this store from any other of its member.
+    /// Returns the store number, which distinguishes the store from other stores of the same member.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Takes a new store into the group that these founded, as a founder or as one added later:
-    /// a log begins with the founders either way.
+    /// Initializes a new store for the group with these founding members, which every log of the group
+    /// starts with.
     pub fn begin(&self, founders: &Membership) -> Result<(), StoreError> {
         let conf = founding_conf(founders);
         let book = serde_json::to_vec(founders)?;
-        self.put_values(&[(key::CONF_STATE, encode(&conf, "conf")?), (key::FOUNDERS, book)])?;
+        self.put_values(&[(key::CONF_STATE, encode(&conf, "configuration")?), (key::FOUNDERS, book)])?;
         self.mem.wl().set_conf_state(conf);
         Ok(())
     }
 
-    /// Write transactions committed with an fsync since the start.
+    /// Returns the number of transactions committed with an fsync since the store was opened.
     pub fn syncs(&self) -> u64 {
         self.syncs.get()
     }
 
-    /// The number of entries on disk, for the figures of a member.
+    /// Returns the number of entries on disk.
     pub fn entries_kept(&self) -> Result<u64, StoreError> {
         Ok(self.db.begin_read()?.open_table(ENTRIES)?.len()?)
     }
 
-    /// Fills the memory from what the disk holds.
+    /// Loads the stored state into memory.
     fn load(&self, values: &Values) -> Result<(), StoreError> {
         let mut core = self.mem.wl();
         let log = |what| move |source| StoreError::Log { what, source };
@@ -272,12 +272,12 @@
         entries.retain(|e| e.index >= first);
         core.append(&entries).map_err(log("entries"))?;
         if let Some(conf) = &values.conf_state {
-            core.set_conf_state(decode(conf, "conf")?);
+            core.set_conf_state(decode(conf, "configuration")?);
         }
         if let Some(hard) = &values.hard_state {
             core.set_hardstate(decode(hard, "hard state")?);
         }
-        // A commit index on disk covers no change that the configuration on disk lacks.
+        // The durable commit index never covers a change that is missing from the stored configuration.
         self.conf_index.set(core.hard_state().commit);
         Ok(())
     }
@@ -288,7 +288,7 @@
         let mut entries = Vec::new();
         for item in table.range(0u64..)? {
             let (_, value) = item?;
-            entries.push(decode(value.value(), "an entry")?);
+            entries.push(decode(value.value(), "log entry")?);
         }
         Ok(entries)
     }
@@ -307,7 +307,7 @@
         self.put_values(&[(key::ID, id), (key::NUMBER, number)])
     }
 
-    /// Writes single values, durably.
+    /// Durably writes values to the `meta` table.
     fn put_values(&self, pairs: &[(&str, Vec<u8>)]) -> Result<(), StoreError> {
         let txn = self.db.begin_write()?;
         {
@@ -324,13 +324,13 @@
         Ok(txn.commit()?)
     }
 
-    /// A copy, so that no lock of the memory is held on.
+    /// Returns a copy, so that the lock on the in-memory storage is released.
     fn hard_state(&self) -> HardState {
         self.mem.rl().hard_state().clone()
     }
 
-    /// The hard state as it may go to disk before the configuration has followed the log: its commit index stays below
-    /// the first change of members that is not in the kept configuration. `entries` are written along with it.
+    /// Returns the hard state that may be written now. Its commit index stays below the first membership
+    /// change that the stored configuration does not include. `entries` are written in the same transaction.
     fn durable_hard_state(&self, hard: &HardState, entries: &[Entry]) -> raft::Result<HardState> {
         let (from, commit) = (self.conf_index.get(), hard.commit);
         if commit <= from {
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Writes a round's parts in one transaction.
+    /// Writes the parts of a round in one transaction.
     fn write_round(
         &self,
         snapshot: Option<&Snapshot>,
@@ -366,22 +366,22 @@
             if let Some(snapshot) = snapshot {
                 table.retain_in(..=snapshot.get_metadata().index, |_, _| false)?;
                 meta.insert(key::SNAPSHOT, encode(snapshot, "snapshot")?.as_slice())?;
-                let conf = encode(snapshot.get_metadata().get_conf_state(), "conf")?;
+                let conf = encode(snapshot.get_metadata().get_conf_state(), "configuration")?;
                 meta.insert(key::CONF_STATE, conf.as_slice())?;
             }
             if let Some(first) = entries.first() {
-                // A leader's entries replace whatever this member held from that index on.
+                // Entries of the leader replace all local entries from their first index on.
                 table.retain_in(first.index.., |_, _| false)?;
             }
             for entry in entries {
-                table.insert(entry.index, encode(entry, "an entry")?.as_slice())?;
+                table.insert(entry.index, encode(entry, "log entry")?.as_slice())?;
             }
             meta.insert(key::HARD_STATE, encode(hard, "hard state")?.as_slice())?;
         }
         self.commit(txn)
     }
 
-    /// Replaces the log up to a snapshot's index by the snapshot.
+    /// Replaces the log up to the index of a snapshot with the snapshot.
     fn write_compaction(&self, snapshot: &Snapshot, hard: &HardState) -> Result<(), StoreError> {
         let txn = self.db.begin_write()?;
         {
@@ -395,7 +395,7 @@
     }
 }
 
-/// Makes a new store under another name and renames it, so that a cut on the way leaves no file that is half a store.
+/// Creates a store under a temporary name and renames it, so that a crash leaves no partial store at `file`.
 fn create(file: &Path, id: u64, number: u64) -> Result<(), StoreError> {
     let name = || file.display().to_string();
     let failed = |source| StoreError::Create { file: name(), source };
@@ -408,12 +408,13 @@
     let db = made.map_err(|error| StoreError::Open { file: name(), source: error.into() })?;
     drop(DiskStore::load_database(db, name(), id, number)?);
     std::fs::rename(&half, file).map_err(failed)?;
-    // Without this the name may be lost with the power, and with it the votes in the file.
+    // Sync the directory: a power failure could otherwise lose the file name, and with it the votes in the
+    // file.
     let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(failed)
 }
 
-/// The configuration that a group's log begins with.
+/// Returns the configuration that the log of a group starts with.
 pub fn founding_conf(founders: &Membership) -> ConfState {
     let voters: Vec<u64> = founders.members().keys().copied().collect();
     ConfState::from((voters, vec![]))
@@ -447,11 +448,11 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        // The table's bytes are in the snapshot that compaction kept; raft-rs's own has none.
+        // Only the stored snapshot contains data; raft-rs's in-memory one is empty.
         match self.read_snapshot() {
             Ok(Some(snapshot)) => Ok(snapshot),
             Ok(None) => self.mem.snapshot(request_index, to),
-            // raft-rs stops the process on any other error; with this one it asks again later.
+            // raft-rs panics on any other error; on this one it retries later.
             Err(_) => Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable)),
         }
     }
@@ -471,7 +472,7 @@
             let index = snapshot.get_metadata().index;
             self.conf_index.set(self.conf_index.get().max(index));
         }
-        // The commit index noted since the last round goes along: it has no fsync of its own.
+        // The commit index updated since the last round is written here.
         let hard_state = hard.cloned().unwrap_or_else(|| self.hard_state());
         let durable = self.durable_hard_state(&hard_state, entries)?;
         self.write_round(snapshot, entries, &durable)?;
@@ -484,10 +485,11 @@
 
     fn set_conf_state_at(&self, conf: ConfState, index: u64) -> raft::Result<()> {
         self.conf_index.set(self.conf_index.get().max(index));
-        // With the commit index, so that no start finds a configuration that its log has not reached.
+        // The commit index is written together with the configuration, so that a restart never finds a
+        // configuration ahead of its log.
         let hard = self.durable_hard_state(&self.hard_state(), &[])?;
         self.put_values(&[
-            (key::CONF_STATE, encode(&conf, "conf")?),
+            (key::CONF_STATE, encode(&conf, "configuration")?),
             (key::HARD_STATE, encode(&hard, "hard state")?),
         ])?;
         self.mem.set_conf_state_at(conf, index)
@@ -499,11 +501,12 @@
         meta.index = index;
         meta.term = self.mem.term(index)?;
         meta.set_conf_state(self.mem.initial_state()?.conf_state);
-        // What is compacted is applied, and a commit index below the snapshot would be no start for raft-rs.
+        // raft-rs does not start with a commit index below the snapshot. Compacted entries are always
+        // applied.
         self.conf_index.set(self.conf_index.get().max(index));
         let hard = self.durable_hard_state(&self.hard_state(), &[])?;
         self.write_compaction(&snapshot, &hard)?;
-        // The entry at `index` stays in memory, so that its term can still be asked for.
+        // The entry at `index` stays in memory, because raft-rs still asks for its term.
         self.mem.wl().compact(index)
     }
 }
--- a/coordination/src/versioned_config.rs
+++ b/coordination/src/versioned_config.rs
@@ -1,5 +1,5 @@
-//! Versions of what is forbidden, on which proxies agree: the replicated part, the bound's times, and a
-//! proxy's view of what it may act on. `docs/versions-design.md` has the reasoning.
+//! Replicated block rules with versions: the replicated state, confirmation timing, and a proxy's view of
+//! the version it may apply. See `docs/versions-design.md`.
 
 use std::collections::BTreeSet;
 
@@ -8,56 +8,57 @@
 use crate::holder::Drift;
 use crate::lease::Millis;
 
-/// The stated bound on how long two proxies may contradict each other, where a file says nothing.
+/// Default bound in milliseconds on how long two proxies may apply different versions.
 pub const WITHIN_MS: Millis = 4_000;
 
-/// What a version forbids, and what the guard covers.
+/// Rules of a configuration version. Also used for the guard, the set of rules that versions may contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BlockRules {
     /// Classes whose requests are refused.
     pub classes: BTreeSet<String>,
-    /// Keys for which requests are refused.
+    /// Keys whose requests are refused.
     pub keys: BTreeSet<String>,
-    /// Cache workers that nothing new is sent to.
+    /// Backends that receive no new requests.
     pub workers: BTreeSet<String>,
 }
 
-/// Names in one set of rules at the most, and the bytes of each.
+/// Maximum number of names in one set of rules.
 pub const MOST_NAMES: usize = 1024;
-/// See [`MOST_NAMES`].
+/// Maximum length of a name, in bytes.
 pub const MOST_NAME: usize = 256;
-/// Bytes of all names together: two versions fit into one answer, however their bytes are written.
+/// Maximum total length of all names, in bytes. Two versions must fit into one frame, even with every byte
+/// escaped.
 pub const MOST_BYTES: usize = 64 << 10;
 
 impl BlockRules {
-    /// The sets with what a file calls them.
+    /// Returns the sets with their field names in settings files.
     fn sets(&self) -> [(&'static str, &BTreeSet<String>); 3] {
         [("block.classes", &self.classes), ("block.keys", &self.keys), ("workers.out", &self.workers)]
     }
 
-    /// What is wrong with them: the field, and why.
+    /// Validates the rules. The error contains the invalid field and the reason.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         let all: usize = self.sets().iter().map(|(_, set)| set.len()).sum();
         let bytes: usize = self.sets().iter().flat_map(|(_, set)| set.iter().map(String::len)).sum();
         for (field, set) in self.sets() {
             if all > MOST_NAMES {
-                return Err((field, format!("{all} names in all, where {MOST_NAMES} are taken")));
+                return Err((field, format!("{all} names in total, at most {MOST_NAMES} are allowed")));
             }
             if bytes > MOST_BYTES {
-                return Err((field, format!("{bytes} bytes in all, where {MOST_BYTES} are taken")));
+                return Err((field, format!("{bytes} bytes in total, at most {MOST_BYTES} are allowed")));
             }
             if let Some(name) = set.iter().find(|n| n.is_empty() || n.len() > MOST_NAME) {
                 return Err((
                     field,
-                    format!("'{name:.40}' has {} bytes, where 1 to {MOST_NAME} are taken", name.len()),
+                    format!("'{name:.40}' has {} bytes, must be 1 to {MOST_NAME}", name.len()),
                 ));
             }
         }
         Ok(())
     }
 
-    /// The first name that `guard` does not cover, with its field.
+    /// Returns the first name that `guard` does not cover, with its field.
     pub fn outside<'a>(&'a self, guard: &BlockRules) -> Option<(&'static str, &'a str)> {
         for ((field, set), (_, covered)) in self.sets().into_iter().zip(guard.sets()) {
             if let Some(name) = set.iter().find(|name| !covered.contains(*name)) {
@@ -67,12 +68,12 @@
         None
     }
 
-    /// Whether all that `other` forbids is forbidden here, too.
+    /// Returns whether these rules block everything that `other` blocks.
     pub fn covers(&self, other: &BlockRules) -> bool {
         other.outside(self).is_none()
     }
 
-    /// Lines that turn these rules into others, as `+` and `-`.
+    /// Returns the difference to `other` as lines that start with `+` or `-`.
     pub fn changes_to(&self, other: &BlockRules) -> Vec<String> {
         let mut lines = Vec::new();
         for ((field, old), (_, new)) in self.sets().into_iter().zip(other.sets()) {
@@ -83,66 +84,66 @@
     }
 }
 
-/// A version: its number, and all that it forbids.
+/// A configuration version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number, above every earlier one's. 0 forbids nothing.
+    /// Number of the version, increasing. Version 0 blocks nothing.
     pub number: u64,
-    /// What it forbids.
+    /// Complete rules of the version.
     pub rules: BlockRules,
 }
 
-/// The versions that the group knows: a function of the entries applied.
+/// The version in force and the pending one. Replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedConfig {
     current: Version,
     next: Option<Version>,
 }
 
-/// What became of a proposal.
+/// Result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is version `number`, in force after a stated time.
+    /// The proposal was accepted and comes into force after a delay.
     Pending {
-        /// Its number.
+        /// Number of the new version.
         number: u64,
     },
-    /// The newest version forbids the same: nothing is changed.
+    /// The newest version already has these rules.
     Unchanged {
-        /// The newest version.
+        /// Number of the newest version.
         number: u64,
     },
-    /// It was made on a version that is not the newest any more.
+    /// The proposal is based on a version that is no longer the newest.
     Stale {
-        /// The newest version.
+        /// Number of the newest version.
         newest: u64,
     },
-    /// A version is on its way; the next one can be proposed once it is in force.
+    /// Another version is pending. A new one can be proposed once it is in force.
     Busy {
-        /// The pending version.
+        /// Number of the pending version.
         pending: u64,
     },
-    /// The rules themselves are out of bounds.
+    /// The rules are invalid. Contains the reason.
     Invalid(String),
 }
 
 impl VersionedConfig {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn current(&self) -> &Version {
         &self.current
     }
 
-    /// The pending one.
+    /// Returns the pending version, if there is one.
     pub fn next(&self) -> Option<&Version> {
         self.next.as_ref()
     }
 
-    /// The newest, pending or in force.
+    /// Returns the newest version, pending or in force.
     pub fn newest(&self) -> &Version {
         self.next.as_ref().unwrap_or(&self.current)
     }
 
-    /// Applies a proposal that was made on version `base`.
+    /// Applies a proposal based on version `base`.
     pub fn propose(&mut self, base: u64, rules: &BlockRules) -> ProposalOutcome {
         if let Err((field, why)) = rules.check() {
             return ProposalOutcome::Invalid(format!("{field}: {why}"));
@@ -162,7 +163,7 @@
         ProposalOutcome::Pending { number }
     }
 
-    /// Applies the leader's decision that a version's time has come; false where it is not pending.
+    /// Brings the pending version into force. Returns `false` if `number` is not pending.
     pub fn force(&mut self, number: u64) -> bool {
         match self.next.take() {
             Some(next) if next.number == number => {
@@ -177,12 +178,12 @@
     }
 }
 
-/// The times that follow from the stated bound.
+/// Timing derived from the bound on how long proxies may apply different versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmationTiming {
-    /// No two proxies contradict each other for longer.
+    /// Maximum time in milliseconds that two proxies may apply different versions.
     pub within_ms: Millis,
-    /// The bound on clocks.
+    /// Bounds on clock drift.
     pub drift: Drift,
 }
 
@@ -193,52 +194,56 @@
 }
 
 impl ConfirmationTiming {
-    /// For how long a confirmation is good, from when it was asked for.
+    /// Returns the validity of a confirmation in milliseconds, counted from when it was requested.
     pub fn good_ms(&self) -> Millis {
         self.within_ms / 2
     }
 
-    /// How long a version is pending: every confirmation that does not know of it is over by then,
-    /// by any clock within the bound.
+    /// Returns how long a version stays pending, in milliseconds. By then, every confirmation that does not
+    /// include it has expired on any clock within the drift bound.
     pub fn delay_ms(&self) -> Millis {
         let good = self.good_ms();
         good + good * 2 * self.drift.rate_ppm / 1_000_000 + self.drift.margin_ms
     }
 
-    /// Whether the times fit into the bound.
+    /// Checks that the timing fits into the bound.
     pub fn check(&self) -> Result<(), String> {
         if !(500..=600_000).contains(&self.within_ms) {
-            return Err("from 500 to 600000".to_owned());
+            return Err("must be from 500 to 600000".to_owned());
         }
         if self.delay_ms() > self.within_ms {
-            return Err(format!("a version would be pending for {} ms with this drift", self.delay_ms()));
+            return Err(format!(
+                "too short for the drift bound: versions would stay pending for {} ms",
+                self.delay_ms()
+            ));
         }
         Ok(())
     }
 }
 
-/// A version as a confirmation names it; its rules come along where the asker lacks them.
+/// A version in a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionInfo {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// What it forbids, for who has not heard of it.
+    /// Rules of the version, unless the requester already knows them.
     pub rules: Option<BlockRules>,
 }
 
-/// The group's word on what is in force, good for a time from when it was asked for.
+/// Confirmation of the version in force, valid for a limited time from when it was requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// For how long.
+    /// Validity in milliseconds.
     pub good_ms: Millis,
     /// The version in force.
     pub current: VersionInfo,
-    /// The pending one, and in how long it is in force.
+    /// The pending version, and the milliseconds until it comes into force.
     pub next: Option<(VersionInfo, Millis)>,
 }
 
 impl VersionedConfig {
-    /// What is confirmed to a proxy that has heard of versions up to `have`.
+    /// Returns the confirmation for a proxy that knows versions up to `have`. `pending_for` is how long the
+    /// next version has been pending.
     pub fn confirm(&self, have: u64, terms: &ConfirmationTiming, pending_for: Millis) -> Confirmation {
         let named = |v: &Version| VersionInfo {
             number: v.number,
@@ -253,41 +258,41 @@
     }
 }
 
-/// What a proxy acts on.
+/// The rules that a proxy applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acting<'a> {
-    /// This version.
+    /// The rules of this version.
     On(&'a Version),
-    /// The guard: all that any version could forbid.
+    /// Safe mode: everything that the guard covers is blocked.
     Safe,
 }
 
-/// A proxy's view: what it knows, and until when it may act on it.
+/// A proxy's confirmed versions, and how long it may apply them.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     current: Option<Version>,
     next: Option<(Version, Millis)>,
     until: Millis,
     asked: Millis,
-    /// The highest version ever acted on: it goes back to none.
+    /// Highest version ever applied. The view never returns to an older one.
     acted: u64,
     drift: Drift,
 }
 
 impl View {
-    /// One that has heard nothing.
+    /// Creates a view without any confirmed version.
     pub fn new(drift: Drift) -> View {
         View { drift, ..View::default() }
     }
 
-    /// The newest version heard of.
+    /// Returns the number of the newest known version.
     pub fn have(&self) -> u64 {
         let next = self.next.as_ref().map(|(v, _)| v.number);
         next.or(self.current.as_ref().map(|v| v.number)).unwrap_or(0)
     }
 
-    /// Takes a confirmation that was asked for at `sent`. One asked for before the last one is late,
-    /// and is left out.
+    /// Processes a confirmation that was requested at `sent`. Confirmations requested before the last
+    /// processed one are ignored.
     pub fn confirmed(&mut self, sent: Millis, told: Confirmation) {
         if sent < self.asked {
             return;
@@ -298,7 +303,8 @@
                 Some(next) => (current, Some((next, sent.saturating_add(left)))),
                 None => return self.forget(),
             },
-            // The group takes this proxy to know what it does not: it says all again.
+            // The group omitted rules that this proxy does not have. Forget all versions, so that the next
+            // confirmation includes them.
             (None, _) => return self.forget(),
         };
         (self.current, self.next) = (Some(current), next);
@@ -317,14 +323,15 @@
         (self.current, self.next, self.until) = (None, None, 0);
     }
 
-    /// What the proxy acts on at `now`.
+    /// Returns the rules that the proxy applies at `now`.
     pub fn acting(&mut self, now: Millis) -> Acting<'_> {
         if now >= self.until {
             return Acting::Safe;
         }
         let switched = self.next.as_ref().filter(|(_, at)| *at <= now).map(|(v, _)| v);
         let Some(version) = switched.or(self.current.as_ref()) else { return Acting::Safe };
-        // It acted on a later one by an earlier leader's time: until that is in force for all, neither.
+        // A newer version was applied on the schedule of an earlier leader. Stay in safe mode until it is in
+        // force again.
         if version.number < self.acted {
             return Acting::Safe;
         }
@@ -332,7 +339,8 @@
         Acting::On(version)
     }
 
-    /// What it acts on from when to when, if it hears nothing more.
+    /// Returns the times at which the applied version changes without further confirmations, with the
+    /// version from each time on. `None` is safe mode.
     pub fn plan(&mut self, now: Millis) -> Vec<(Millis, Option<Version>)> {
         let first = match self.acting(now) {
             Acting::On(version) => Some(version.clone()),
--- a/coordination/src/versioned_config/tests.rs
+++ b/coordination/src/versioned_config/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(v.propose(1, &rules("b")), ProposalOutcome::Busy { pending: 1 });
     assert!(!v.force(2) && v.force(1) && !v.force(1));
     assert_eq!((v.current().number, v.newest().number), (1, 1));
-    // Back to what was before is a new version.
+    // Returning to earlier rules creates a new version.
     assert_eq!(v.propose(1, &BlockRules::default()), ProposalOutcome::Pending { number: 2 });
     let long = rules(&"x".repeat(300));
     assert!(
@@ -27,29 +27,32 @@
 #[test]
 fn a_proxy_switches_at_the_time_it_was_told_and_is_safe_without_a_word() {
     let (mut v, mut view) = (VersionedConfig::default(), View::new(TERMS.drift));
-    assert_eq!(view.acting(0), Acting::Safe, "it has heard nothing");
+    assert_eq!(view.acting(0), Acting::Safe, "nothing is confirmed yet");
     view.confirmed(1_000, v.confirm(view.have(), &TERMS, 0));
     assert!(matches!(view.acting(1_100), Acting::On(Version { number: 0, .. })));
     v.propose(0, &rules("a"));
     view.confirmed(1_500, v.confirm(view.have(), &TERMS, 300));
-    // Pending for 2,140 ms, of which 300 are gone; good for 2,000 less drift and margin.
+    // The version is pending for 2,140 ms, 300 ms of which have passed. The confirmation is valid for 2,000
+    // ms minus drift and margin.
     assert!(matches!(view.acting(3_339), Acting::On(Version { number: 0, .. })));
     assert!(matches!(view.acting(3_340), Acting::On(Version { number: 1, .. })));
     assert_eq!(view.acting(3_360), Acting::Safe);
-    // The leader changed and counts anew: the old version is in force again, and this proxy acts on neither.
+    // A new leader restarts the delay, so the old version is in force again. The proxy, which has applied
+    // the new one, must stay in safe mode.
     view.confirmed(3_400, v.confirm(view.have(), &TERMS, 0));
     assert_eq!(view.acting(3_500), Acting::Safe);
     v.force(1);
     view.confirmed(5_600, v.confirm(view.have(), &TERMS, 0));
     assert!(matches!(view.acting(5_700), Acting::On(Version { number: 1, .. })));
-    // A late answer to an older question says nothing any more.
+    // A late answer to an older request is ignored.
     view.confirmed(5_000, VersionedConfig::default().confirm(0, &TERMS, 0));
     assert!(matches!(view.acting(5_700), Acting::On(Version { number: 1, .. })));
 }
 
 #[test]
 fn every_confirmation_that_knows_nothing_of_a_version_ends_before_it_is_in_force() {
-    // A proxy's clock slow by the bound, the leader's fast by it: asked for right before the version came.
+    // Worst case: the proxy's clock is slow and the leader's fast, and the confirmation was requested just
+    // before the version was proposed.
     let good = TERMS.drift.act_until(0, TERMS.good_ms()) as f64 * 1.01;
     let pending = TERMS.delay_ms() as f64 * 0.99;
     assert!(good < pending && TERMS.check().is_ok(), "{good} {pending}");
@@ -58,7 +61,7 @@
 
 #[test]
 fn the_largest_rules_fit_into_a_frame_and_larger_ones_are_refused() {
-    // Bytes that JSON writes as six each.
+    // JSON escapes each of these characters to six bytes.
     let name = |n: usize| format!("{n:04}{}", "\u{1}".repeat(250));
     let of = |count: usize| BlockRules { keys: (0..count).map(name).collect(), ..BlockRules::default() };
     assert!(of(258).check().is_ok() && of(259).check().is_err());
