--- a/coordination/src/wire.rs
+++ b/coordination/src/wire.rs
@@ -1,42 +1,41 @@
-//! What members and clients say to each other on a stream, as frames fed in bytes; no socket.
+//! Framing and encoding of messages between members and clients, without I/O.
 //!
-//! A frame is a length (4 bytes, big-endian, the kind byte and the body), a kind, and a body:
-//! raft-rs's message in protobuf between members, JSON between a client and a member. The decoder
-//! holds at most one frame's bytes and refuses a length over its bound before reading the body, so
-//! a peer that lies about a length costs nothing.
+//! A frame is a 4-byte big-endian length, which counts the rest of the frame, a kind byte and a body.
+//! Messages between members are raft-rs's protobuf; requests and answers are JSON. The decoder checks the
+//! length before it buffers the body, and buffers at most one frame.
 
 use protobuf::Message as _;
 use raft::eraftpb::MessageType;
 
-/// A message of the Raft group, from one member to another.
+/// A Raft message between members.
 pub use raft::eraftpb::Message;
 use serde::{Deserialize, Serialize};
 
 use crate::protocol::{Answer, Request};
 
-/// The largest frame taken from a member, kind and body: a snapshot of the largest table that the
-/// settings allow, and a listing of it.
+/// Maximum frame size between members, in bytes: kind byte and body. Fits a snapshot and a listing of the
+/// largest lease table.
 pub const MAX_FRAME: usize = 8 << 20;
-/// The largest frame taken from a client, and from a member by a proxy: the largest rules, twice.
+/// Maximum frame size between a client and a member, in bytes. Fits two versions with the largest rules.
 pub const MAX_ASK: usize = 1 << 20;
 
-/// One frame.
+/// A frame.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// A message of the Raft group, from one member to another.
+    /// A Raft message between members.
     Peer(Message),
-    /// A client's request.
+    /// A request from a client.
     Ask {
-        /// The client's number for it, returned with the answer.
+        /// Request number assigned by the client and returned with the answer.
         req: u64,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// A member's answer.
+    /// An answer from a member.
     Answer {
-        /// The request's number.
+        /// Request number.
         req: u64,
-        /// What was decided.
+        /// The answer.
         answer: Answer,
     },
 }
@@ -57,12 +56,12 @@
 const ASK: u8 = 2;
 const ANSWER: u8 = 3;
 
-/// A stream that broke the framing: where and how. The connection is closed on it.
+/// A framing error. The connection has to be closed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FrameError {
-    /// The offset in the stream of the frame at fault.
+    /// Stream offset of the invalid frame.
     pub at: u64,
-    /// What was wrong.
+    /// Description of the error.
     pub why: String,
 }
 
@@ -73,8 +72,7 @@
 }
 
 impl Frame {
-    /// Whether this is a whole state for a member that fell behind; its sender wants to know what
-    /// became of it.
+    /// Returns whether the frame is a Raft snapshot, whose delivery has to be reported to raft-rs.
     pub fn is_snapshot(&self) -> bool {
         matches!(self, Frame::Peer(m) if m.get_msg_type() == MessageType::MsgSnapshot)
     }
@@ -82,7 +80,7 @@
 
 impl std::error::Error for FrameError {}
 
-/// Writes `frame` onto `out`.
+/// Appends the encoding of `frame` to `out`.
 pub fn encode(frame: &Frame, out: &mut Vec<u8>) {
     let (kind, body) = match frame {
         Frame::Peer(m) => (PEER, m.write_to_bytes().unwrap_or_default()),
@@ -99,7 +97,7 @@
     out.extend_from_slice(&body);
 }
 
-/// Frames out of a stream of bytes, fed as they come.
+/// Incremental frame decoder.
 #[derive(Debug)]
 pub struct Decoder {
     buf: Vec<u8>,
@@ -114,28 +112,28 @@
 }
 
 impl Decoder {
-    /// One that takes frames up to this size.
+    /// Creates a decoder that accepts frames of up to `most` bytes.
     pub fn with_most(most: usize) -> Decoder {
         Decoder { buf: Vec::new(), offset: 0, most }
     }
 
-    /// Takes bytes read from the stream; the caller reads no more than [`Decoder::room`] allows,
-    /// and takes out what is whole before it feeds more.
+    /// Buffers bytes read from the stream. The caller must add at most [`Decoder::room`] bytes, and take all
+    /// complete frames before adding more.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// How many more bytes may be fed before a frame must be taken out.
+    /// Returns how many bytes may be added before a frame has to be taken.
     pub fn room(&self) -> usize {
         (self.most + 4).saturating_sub(self.buf.len())
     }
 
-    /// Bytes that are fed and not taken out.
+    /// Returns the number of buffered bytes.
     pub fn held(&self) -> usize {
         self.buf.len()
     }
 
-    /// The next whole frame, if one is in.
+    /// Decodes and removes the next frame. Returns `None` if it is incomplete.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if self.buf.len() < 4 {
             return Ok(None);
@@ -144,7 +142,7 @@
         let fail = |why: String| FrameError { at, why };
         let len = u32::from_be_bytes([self.buf[0], self.buf[1], self.buf[2], self.buf[3]]) as usize;
         if len == 0 || len > self.most {
-            return Err(fail(format!("a length of {len}, where 1 to {} are taken", self.most)));
+            return Err(fail(format!("frame length is {len}, must be 1 to {}", self.most)));
         }
         if self.buf.len() < 4 + len {
             return Ok(None);
@@ -155,14 +153,14 @@
             match kind {
                 PEER => Message::parse_from_bytes(body)
                     .map(Frame::Peer)
-                    .map_err(|e| fail(format!("peer: {e}")))?,
+                    .map_err(|e| fail(format!("invalid Raft message: {e}")))?,
                 ASK => serde_json::from_slice::<AskBody>(body)
                     .map(|b| Frame::Ask { req: b.req, request: b.request })
-                    .map_err(|e| fail(format!("ask: {e}")))?,
+                    .map_err(|e| fail(format!("invalid request: {e}")))?,
                 ANSWER => serde_json::from_slice::<AnswerBody>(body)
                     .map(|b| Frame::Answer { req: b.req, answer: b.answer })
-                    .map_err(|e| fail(format!("answer: {e}")))?,
-                other => return Err(fail(format!("a kind {other}, where 1 to 3 are taken"))),
+                    .map_err(|e| fail(format!("invalid answer: {e}")))?,
+                other => return Err(fail(format!("frame kind is {other}, must be 1 to 3"))),
             }
         };
         self.buf.drain(..4 + len);
--- a/coordination/src/wire/tests.rs
+++ b/coordination/src/wire/tests.rs
@@ -21,6 +21,6 @@
     d.feed(&[0xff, 0xff, 0xff, 0xff]);
     assert_eq!(
         d.next_frame().unwrap_err().to_string(),
-        format!("frame at byte {}: a length of 4294967295, where 1 to 8388608 are taken", bytes.len())
+        format!("frame at byte {}: frame length is 4294967295, must be 1 to 8388608", bytes.len())
     );
 }
--- a/coordination/tests/common/mod.rs
+++ b/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Members of a group in virtual time, every message delivered in the next step.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Groups of members in virtual time. Messages are delivered in the step after they were sent.
+#![allow(dead_code)] // No test file uses all of these helpers.
 
 use notchdoor_coordination::lease::{Bounds, Command, Outcome};
 use notchdoor_coordination::log_storage::LogStorage;
@@ -10,7 +10,7 @@
 use raft::eraftpb::Message;
 use std::collections::BTreeMap;
 
-/// Milliseconds between two steps.
+/// Milliseconds per step.
 pub const STEP: u64 = 10;
 
 pub fn at(id: u64) -> MemberAddr {
@@ -32,7 +32,7 @@
         terms: ConfirmationTiming::default(),
         guard: BlockRules::default(),
     };
-    RaftNode::new(begin, store, now).expect("a valid member")
+    RaftNode::new(begin, store, now).expect("the member must start")
 }
 
 pub struct Group<S: LogStorage> {
@@ -51,10 +51,10 @@
 
     pub fn step(&mut self) {
         let failed = self.step_with_failures();
-        assert!(failed.is_empty(), "a round does not fail: {failed:?}");
+        assert!(failed.is_empty(), "members failed: {failed:?}");
     }
 
-    /// The same where members may fail: those that did are named, and gone.
+    /// Like [`Group::step`], but removes members whose round fails, and returns their ids.
     pub fn step_with_failures(&mut self) -> Vec<u64> {
         self.now += STEP;
         for message in std::mem::take(&mut self.wire) {
@@ -83,10 +83,10 @@
             }
             self.step();
         }
-        panic!("nobody leads");
+        panic!("no leader was elected");
     }
 
-    /// Asks whoever leads until there is an answer that is no 'later'.
+    /// Sends a request to the current leader until it returns a final answer.
     pub fn ask(&mut self, request: Request) -> Answer {
         for _ in 0..200 {
             self.next += 1;
--- a/coordination/tests/extreme_answers.rs
+++ b/coordination/tests/extreme_answers.rs
@@ -1,4 +1,4 @@
-//! Answers whose spans are as long as their encoding allows: a client that takes one goes on, and waits.
+//! Answers with the largest possible durations must not overflow the client's timers.
 
 use notchdoor_coordination::confirm::Confirmer;
 use notchdoor_coordination::holder::Drift;
@@ -45,5 +45,9 @@
     let (number, _) = confirmer.due(10_000).expect("the first is due at once");
     confirmer.answered(number, &word, 10_005);
     assert!(confirmer.next_due() > 10_005);
-    assert_eq!(confirmer.plan(10_010).len(), 2, "in force, and pending for ever");
+    assert_eq!(
+        confirmer.plan(10_010).len(),
+        2,
+        "the version in force, then safe mode; the pending version never starts"
+    );
 }
--- a/coordination/tests/group.rs
+++ b/coordination/tests/group.rs
@@ -1,6 +1,5 @@
-//! Members of a group in virtual time, every message delivered in the next step: what a restart, a
-//! compaction, a change of members and a read by a leader that is none any more come to. Faults by
-//! schedule are the lab's: `lab/tests/group.rs`.
+//! Groups of members in virtual time: restart, compaction, membership change and reads at a deposed leader.
+//! Fault schedules are covered by `lab/tests/group.rs`.
 
 mod common;
 
@@ -40,9 +39,11 @@
 fn a_member_on_disk_compacts_its_log_and_comes_back_with_its_grants() {
     let folder = Folder::new("compact");
     let mut group = Group::of([member(1, 1, founders(1), disk(&folder.0, 1, &founders(1)), 0)]);
-    let Outcome::Granted { token, .. } = group.acquire("registry", "p1") else { panic!("it is free") };
+    let Outcome::Granted { token, .. } = group.acquire("registry", "p1") else {
+        panic!("the task must be free")
+    };
     for _ in 0..1_200 {
-        // A repeated acquire keeps its token.
+        // A repeated acquire must keep the token.
         assert_eq!(group.acquire("registry", "p1"), Outcome::Granted { token, ttl_ms: 5_000 });
     }
     let now = group.now;
@@ -63,7 +64,7 @@
         let mut group = Group::of(members);
         let leader = group.leader();
         group.ask(Request::List { task: None });
-        // The others have the entry; the leader dies before it hears so.
+        // The followers receive the entry, and the leader crashes before it receives their acknowledgements.
         assert_eq!(group.members.get_mut(&leader).unwrap().ask(1, acquire("warm", "a")), None);
         group.step();
         group.step();
@@ -73,16 +74,16 @@
         if group.leader() != leader {
             return false;
         }
-        // Elected again, its first request has the number of the old one, and is b's.
+        // The restarted leader receives a request of holder b with the number of a's old request.
         assert_eq!(group.members.get_mut(&leader).unwrap().ask(1, acquire("warm", "b")), None);
         group.answers.clear();
         (0..50).for_each(|_| group.step());
         let told: Vec<_> = group.answers.iter().filter(|(n, _)| *n == 1).collect();
         let refused = matches!(told[..], [(_, Answer::Done { outcome: Outcome::Refused(_), .. })]);
-        assert!(refused, "b is told that a has it: {told:?}");
+        assert!(refused, "the request of b must be refused, because a holds the lease: {told:?}");
         true
     });
-    assert!(led_again.count() > 3, "the same member has to be elected again to show anything");
+    assert!(led_again.count() > 3, "too few runs in which the same member was elected again");
 }
 
 #[test]
@@ -90,13 +91,16 @@
     let folder = Folder::new("change");
     let book = founders(3);
     let mut group = Group::of((1..=3).map(|id| member(id, 1, book.clone(), disk(&folder.0, id, &book), 0)));
-    let Outcome::Granted { token, .. } = group.acquire("warm", "a") else { panic!("it is free") };
-    // Past a compaction, so that the new one gets the state as a snapshot.
+    let Outcome::Granted { token, .. } = group.acquire("warm", "a") else { panic!("the task must be free") };
+    // Compact the log first, so that the new member receives a snapshot.
     for _ in 0..1_100 {
         group.acquire("warm", "a");
     }
     assert_eq!(group.ask(Request::Add(at(4))), Answer::Changed);
-    assert!(matches!(group.ask(Request::Add(at(2))), Answer::Changed), "asking again is harmless");
+    assert!(
+        matches!(group.ask(Request::Add(at(2))), Answer::Changed),
+        "adding the same member again must succeed"
+    );
     let moved = MemberAddr { id: 2, ..at(9) };
     assert!(matches!(group.ask(Request::Add(moved)), Answer::Refused(why) if why.contains("above 4")));
     group.members.insert(4, member(4, 1, book.clone(), disk(&folder.0, 4, &book), group.now));
@@ -107,7 +111,7 @@
         let members = group.members[&id].book().members();
         members.get(&4).map(|m| m.voter)
     };
-    assert_eq!(votes(&group, 1), Some(false), "its store has not come yet: nobody to vote");
+    assert_eq!(votes(&group, 1), Some(false), "a learner must not vote before its store is enlisted");
     assert_eq!(group.ask(Request::Enlist { id: 4, number: 104 }), Answer::Enlisted(true));
     assert_eq!(group.ask(Request::Enlist { id: 4, number: 999 }), Answer::Enlisted(false));
     for _ in 0..200 {
@@ -115,14 +119,17 @@
     }
     assert_eq!((votes(&group, 1), votes(&group, 4)), (Some(true), Some(true)));
     assert_eq!(group.members[&4].table().grants()["warm"].token, token);
-    // The leader itself is removed: it hands its lead over, and goes.
+    // Remove the leader, which has to transfer its leadership first.
     let leader = group.leader();
     assert_eq!(group.ask(Request::Remove { id: leader }), Answer::Changed);
     group.members.remove(&leader);
     assert_ne!(group.leader(), leader);
     let held = group.ask(acquire("warm", "b"));
-    assert!(matches!(held, Answer::Held { .. }), "a's grant outlives the change: {held:?}");
-    // Three vote now: one more may die.
+    assert!(
+        matches!(held, Answer::Held { .. }),
+        "the grant of a must survive the membership change: {held:?}"
+    );
+    // Three voters remain, so the group tolerates the loss of one.
     let leader = group.leader();
     group.members.remove(&leader);
     assert_ne!(group.leader(), leader);
@@ -142,11 +149,15 @@
     assert!(matches!(group.ask(expire), Answer::Refused(_)));
     let leader = group.leader();
     let mut alone = group.members.remove(&leader).unwrap();
-    assert_eq!(alone.ask(900, Request::List { task: None }), None, "it believes that it leads");
+    assert_eq!(
+        alone.ask(900, Request::List { task: None }),
+        None,
+        "the isolated member still considers itself the leader"
+    );
     let mut answers = Vec::new();
     for now in (group.now..group.now + 3_000).step_by(STEP as usize) {
         answers.extend(alone.advance(now).unwrap().answers);
     }
     assert!(matches!(answers[..], [(900, Answer::Later { .. })]), "{answers:?}");
-    assert!(!alone.leads(), "it steps down without a majority");
+    assert!(!alone.leads(), "a leader without a majority must step down");
 }
--- a/coordination/tests/model.rs
+++ b/coordination/tests/model.rs
@@ -1,10 +1,9 @@
-//! The lease protocol with fencing, checked with stateright over every interleaving to a depth.
+//! Model check of the lease protocol with fencing, using stateright.
 //!
-//! Three members, of which one leads at a time and a majority must be up to elect one; two
-//! clients; one task; one resource behind the fence. Messages are lost, duplicated and delivered
-//! in any order; the leader crashes and members restart with their disk. The group's log is taken
-//! as what raft-rs gives, one committed order; the lease table, the leader's expiries, the holder's
-//! clock and the fence are the package's own code. Two broken variants must be caught.
+//! Models three members, two clients, one task and one fenced resource. Messages are lost, duplicated and
+//! reordered; the leader crashes, and members restart with their disk. Raft is modelled as a single
+//! committed order of entries. The lease table, expiries, lease validity and fence are the crate's own code.
+//! Two deliberately broken variants must violate the properties.
 
 use notchdoor_coordination::fence::Fence;
 use notchdoor_coordination::holder::Drift;
@@ -18,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     AsBuilt,
-    /// The resource admits every action: no fence.
+    /// The resource admits every action, without a fence.
     NoFence,
-    /// A new leader expires every grant at its election instead of counting a full TTL.
+    /// A new leader expires every grant at its election instead of restarting its TTL.
     NoFullTtlAtElection,
 }
 
@@ -175,7 +174,7 @@
             }
             Action::Deliver(i) => match s.net.remove(i) {
                 Msg::Ask { c, req, command, .. } => {
-                    // Without a leader the request goes nowhere; the client's time-out is not modelled.
+                    // Without a leader the request is lost. Client timeouts are not modelled.
                     s.leader?;
                     let outcome = self.commit(&mut s, &command);
                     s.net.push(Msg::Answer { c, req, outcome });
@@ -238,17 +237,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no two clients act at one instant", |_, s: &State| {
+            Property::always("at most one client may act at any time", |_, s: &State| {
                 s.clients.iter().filter(|c| c.held.is_some_and(|(_, until)| s.now < until)).count() < 2
             }),
-            Property::always("accepted tokens only grow", |_, s: &State| !s.shrank),
-            Property::sometimes("the task changes hands", |_, s: &State| s.handed_over),
+            Property::always("admitted tokens never decrease", |_, s: &State| !s.shrank),
+            Property::sometimes("the lease moves to another client", |_, s: &State| s.handed_over),
         ]
     }
 }
 
-/// How deep every interleaving is followed: enough for a grant, its end and a second grant with
-/// a crash, an election, a loss and a copy among them.
+/// Search depth. Covers a grant, its end and a second grant, with a crash, an election, a lost and a
+/// duplicated message.
 const DEPTH: usize = 17;
 
 fn check(variant: Variant) -> impl Checker<Leases> {
@@ -259,18 +258,18 @@
 #[test]
 fn the_protocol_as_built_keeps_one_holder_and_growing_tokens() {
     let checker = check(Variant::AsBuilt);
-    checker.assert_no_discovery("no two clients act at one instant");
-    checker.assert_no_discovery("accepted tokens only grow");
-    checker.assert_any_discovery("the task changes hands");
+    checker.assert_no_discovery("at most one client may act at any time");
+    checker.assert_no_discovery("admitted tokens never decrease");
+    checker.assert_any_discovery("the lease moves to another client");
     println!("states {}, depth {}", checker.unique_state_count(), checker.max_depth());
 }
 
 #[test]
 fn without_the_fence_a_late_action_of_the_old_holder_is_taken() {
-    check(Variant::NoFence).assert_any_discovery("accepted tokens only grow");
+    check(Variant::NoFence).assert_any_discovery("admitted tokens never decrease");
 }
 
 #[test]
 fn without_a_full_ttl_at_election_two_clients_act_at_once() {
-    check(Variant::NoFullTtlAtElection).assert_any_discovery("no two clients act at one instant");
+    check(Variant::NoFullTtlAtElection).assert_any_discovery("at most one client may act at any time");
 }
--- a/coordination/tests/store_faults.rs
+++ b/coordination/tests/store_faults.rs
@@ -1,5 +1,5 @@
-//! A member's disk that fails: every write and every sync in turn, for one call or for good, and a cut of the power
-//! at each of them. What was acknowledged is there afterwards, and what failed was said to fail.
+//! Disk faults of a member's store: failed writes and syncs, and power failures at every call. Acknowledged
+//! data must survive, and every failure must be reported.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What a write does to a file.
+/// A modification of the file.
 #[derive(Clone, Debug)]
 enum Change {
     Write { offset: usize, bytes: Vec<u8> },
@@ -37,23 +37,23 @@
     }
 }
 
-/// Which calls fail: those numbered from `first` on, so many of them.
+/// Calls that fail: `count` calls, starting with number `first`.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
     first: usize,
     count: usize,
     error: io::ErrorKind,
-    /// A write that fails has written its first half.
+    /// Whether a failing write still writes its first half.
     torn: bool,
 }
 
 #[derive(Debug, Default)]
 struct File {
-    /// What the process reads.
+    /// Contents as read by the process.
     current: Vec<u8>,
-    /// What a cut of the power leaves for certain.
+    /// Contents guaranteed to survive a power failure.
     durable: Vec<u8>,
-    /// What was written since the last sync: a cut leaves any of it.
+    /// Modifications since the last sync. A power failure keeps any subset of them.
     unsynced: Vec<Change>,
     calls: usize,
     fault: Option<Fault>,
@@ -71,7 +71,8 @@
         self.unsynced.push(change);
     }
 
-    /// What the disk may hold after a cut: none, all, or a part of what was not synced.
+    /// Returns possible contents after a power failure, with none, all or some of the unsynced
+    /// modifications.
     fn cuts(&self) -> Vec<Vec<u8>> {
         let last = self.unsynced.len().saturating_sub(1);
         let keeps: [&dyn Fn(usize) -> bool; 5] =
@@ -85,7 +86,7 @@
     }
 }
 
-/// A disk in memory; clones are one disk.
+/// An in-memory disk. Clones share their contents.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<File>>);
 
@@ -99,7 +100,7 @@
         self.0.lock().unwrap()
     }
 
-    /// From the next call on.
+    /// Makes `count` calls fail, the first of them `after` calls from now.
     fn fail(&self, after: usize, count: usize, error: io::ErrorKind, torn: bool) {
         let mut file = self.file();
         file.fault = Some(Fault { first: file.calls + after, count, error, torn });
@@ -135,7 +136,7 @@
     fn sync_data(&self) -> io::Result<()> {
         let mut file = self.file();
         if let Some(fault) = file.fails() {
-            // The pages count as clean from here on: no later sync writes them.
+            // A failed sync marks the pages as clean, so that no later sync writes them.
             file.unsynced.clear();
             return Err(fault.error.into());
         }
@@ -169,7 +170,7 @@
 
 type Step = fn(&DiskStore) -> raft::Result<()>;
 
-/// Each kind of write that a member asks of its store.
+/// Each kind of write that a member performs on its store.
 const STEPS: [Step; 9] = [
     |s| s.keep(None, &[entry(1, 1), entry(2, 1)], Some(&hard(1, 1, 0))),
     |s| s.keep(None, &[entry(3, 1), entry(4, 1), entry(5, 1)], Some(&hard(1, 1, 2))),
@@ -188,7 +189,8 @@
     },
 ];
 
-/// What a store holds that has to outlive its process: all but the commit index, which a member learns again.
+/// Durable contents of a store: everything except the commit index, which a restarted member learns from the
+/// leader.
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
     vote: (u64, u64),
@@ -200,7 +202,7 @@
 fn held(store: &DiskStore) -> Held {
     let state = store.initial_state().unwrap();
     let snapshot = store.snapshot(0, 0).unwrap();
-    // Without a kept snapshot raft-rs makes an empty one up.
+    // Without a stored snapshot, raft-rs returns an empty one.
     let index = if snapshot.get_data().is_empty() { 0 } else { snapshot.get_metadata().index };
     let (first, last) = (store.first_index().unwrap().max(index + 1), store.last_index().unwrap());
     let all = GetEntriesContext::empty(false);
@@ -213,7 +215,8 @@
     }
 }
 
-/// A store that has begun, on a disk without faults, and what it holds after each step.
+/// Creates a store on a disk without faults. Returns the disk contents before the steps and the store
+/// contents after each step.
 fn begun() -> (Vec<u8>, Vec<Held>) {
     let disk = Disk::default();
     let (store, stage) = disk.open().unwrap();
@@ -252,16 +255,17 @@
             disk.fail(after, count, error, torn);
             let mut results = STEPS.iter().map(|step| step(&store)).enumerate();
             let Some((failed, _)) = results.find(|(_, result)| result.is_err()) else {
-                assert!(after > STEPS.len(), "every step writes");
+                assert!(after > STEPS.len(), "every step must write at least once");
                 break;
             };
             places += 1;
-            // Nothing is promised on pages that a failed sync may have dropped, also once the disk is well again.
+            // All later writes must fail too, even on a recovered disk, because the failed sync may have
+            // lost pages.
             assert!(
                 results.all(|(_, result)| result.is_err()),
-                "call {after}: a step after the failed one was promised"
+                "call {after}: a step after the failed one was acknowledged"
             );
-            // What others ask of this member's log is read as before.
+            // Reads must still work, as other members depend on them.
             assert_eq!(held(&store), reference[failed], "call {after}: reads after the failure");
             let cuts = disk.file().cuts();
             drop(store);
@@ -273,7 +277,7 @@
             }
         }
     }
-    assert!(places > 4 * STEPS.len(), "{places} places of failure");
+    assert!(places > 4 * STEPS.len(), "only {places} failing calls");
 }
 
 #[test]
@@ -286,7 +290,7 @@
         step(&store).unwrap();
         calls.push(disk.file().calls);
     }
-    // The same again, stopped right after each call that went well.
+    // Repeat the steps, and fail every call after the first `after` ones.
     let (image, _) = begun();
     for after in 1..=calls[STEPS.len()] - calls[0] {
         let disk = Disk::of(image.clone());
@@ -307,7 +311,7 @@
     let disk = Disk::of(image);
     let (store, _) = disk.open().unwrap();
     STEPS.iter().for_each(|step| step(&store).unwrap());
-    // Cut without a clean end, so that opening it has repairs to write.
+    // Use the contents after an unclean shutdown, so that opening the store writes repairs.
     let image = disk.file().cuts().swap_remove(0);
     for after in 1.. {
         let disk = Disk::of(image.clone());
@@ -317,7 +321,7 @@
             assert_eq!(reopened(cut), reference[STEPS.len()], "call {after}");
         }
         if opened.is_ok() {
-            assert!(after > 1, "opening writes");
+            assert!(after > 1, "opening the store must write");
             break;
         }
     }
@@ -363,7 +367,7 @@
                 "call {after}: {promised:?} {tokens:?}"
             );
         }
-        // Far enough: the first dozens of rounds have each kind of call.
+        // Stop once enough rounds succeeded to have covered each kind of call.
         if !failed || promised.len() > 40 {
             assert!(promised.len() > 40 && after > 100, "{} calls, {} grants", after, promised.len());
             break;
@@ -392,7 +396,7 @@
         let mut asked = 1_000;
         let mut added = false;
         for round in 0..12u64 {
-            // A request in each step, so that the next entries come along with a commit index.
+            // One request per step, so that later entries carry a commit index.
             asked += 1;
             let one = group.members.get_mut(&leader).unwrap();
             let _ = one.ask(asked, acquire(&format!("task-{round}"), "p"));
@@ -406,7 +410,7 @@
             }
         }
         let Some(cuts) = cut else {
-            assert!(added, "the leader took the change");
+            assert!(added, "the leader must accept the membership change");
             break;
         };
         cut_at = after;
--- a/coordination/tests/stored_forms.rs
+++ b/coordination/tests/stored_forms.rs
@@ -1,8 +1,8 @@
-//! The stored and sent forms of the group stay readable: files written by an earlier build are decoded to exactly what
-//! they held, and the same contents are encoded to the same bytes.
+//! Compatibility of stored and transmitted data: fixtures of earlier builds decode to the expected values,
+//! which encode to the same bytes.
 //!
-//! `tests/data/` holds frames as they go over a connection, the tables of a member's store as text, one
-//! `table key hex` line an item, and settings files.
+//! `tests/data/` contains frames, settings files, and the tables of a member's store in text form, with one
+//! `table key hex` line per item.
 
 use notchdoor_coordination::config::{
     parse, parse_rules, parse_tasks, CopiesConfig, GroupConfig, Task, TasksConfig,
@@ -40,7 +40,7 @@
 }
 
 fn text(name: &str) -> String {
-    String::from_utf8(fixture(name)).expect("a settings file is text")
+    String::from_utf8(fixture(name)).expect("the fixture must be UTF-8")
 }
 
 fn loopback(port: u16) -> SocketAddr {
@@ -235,7 +235,7 @@
     vec![append, heartbeat, vote, install]
 }
 
-/// The file decodes to these frames, and these frames encode to the file.
+/// Checks that the fixture decodes to `frames`, and that `frames` encode to the fixture.
 fn same_frames(name: &str, frames: Vec<Frame>) {
     let mut bytes = Vec::new();
     frames.iter().for_each(|frame| encode(frame, &mut bytes));
@@ -246,8 +246,8 @@
         let decoded = decoder.next_frame().unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(decoded.as_ref(), Some(frame), "{name}: frame {place}");
     }
-    assert_eq!((decoder.next_frame(), decoder.held()), (Ok(None), 0), "{name} holds nothing more");
-    assert!(bytes == stored, "{name}: the same frames are encoded to other bytes");
+    assert_eq!((decoder.next_frame(), decoder.held()), (Ok(None), 0), "{name} contains trailing data");
+    assert!(bytes == stored, "{name}: the encoding of the frames changed");
 }
 
 #[test]
@@ -296,7 +296,7 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect()
 }
 
-/// The tables of a store as text.
+/// Formats the tables of a store as text.
 fn dump(file: &Path) -> String {
     let database = Database::open(file).unwrap();
     let txn = database.begin_read().unwrap();
@@ -312,7 +312,7 @@
     lines
 }
 
-/// A store with these tables, put there without this package's code.
+/// Creates a store with these tables, without using the crate's own code.
 fn restore(file: &Path, lines: &str) {
     let database = Database::create(file).unwrap();
     let txn = database.begin_write().unwrap();
@@ -360,13 +360,13 @@
     fn ask(&mut self, request: Request) {
         self.req += 1;
         if let Some(answer) = self.member.ask(self.req, request.clone()) {
-            panic!("{request:?} is answered at once with {answer:?}");
+            panic!("unexpected immediate answer to {request:?}: {answer:?}");
         }
         self.run(20);
     }
 }
 
-/// A member that leads alone and logs one entry of each kind but a change of members.
+/// Runs a single-member group that logs one entry of each kind, except membership changes.
 fn logged(file: &Path) -> Alone {
     let (store, stage) = DiskStore::open(file, 1, 101).unwrap();
     assert_eq!(stage, Stage::New);
@@ -387,9 +387,9 @@
     alone.ask(Request::Lease(Command::Release { task, holder, token: token(&alone, "probe") }));
     let short = Command::Acquire { task: "short".into(), holder: "p2".into(), ttl_ms: 500 };
     alone.ask(Request::Lease(short));
-    alone.run(1_000); // The leader logs its expiry.
+    alone.run(1_000); // The leader logs the expiry of the lease.
     alone.ask(Request::Propose { base: 0, rules: rules() });
-    alone.run(4_000); // The leader logs that it is in force.
+    alone.run(4_000); // The leader logs that the version is in force.
     alone.ask(Request::Propose { base: 1, rules: BlockRules::default() });
     alone.ask(Request::Enlist { id: 1, number: 101 });
     let shape = ShardMapParameters { shards: 2, copies: 2, least: 1 };
@@ -406,7 +406,7 @@
     serde_json::from_slice(&member.snapshot_data()).unwrap()
 }
 
-/// What the log of [`logged`] comes to.
+/// Checks the state that results from the log written by [`logged`].
 fn check_logged(state: &ReplicatedState) {
     let grants = state.leases.grants();
     let tasks: Vec<_> = grants.keys().map(String::as_str).collect();
@@ -414,7 +414,7 @@
     let warm = Grant { holder: "p1".into(), token: 2, ttl_ms: 60_000, renewed_at: 5, revoked: true };
     let sweep = Grant { holder: "p1".into(), token: 4, ttl_ms: 60_000, renewed_at: 4, revoked: false };
     assert_eq!((&grants["warm"], &grants["sweep"]), (&warm, &sweep));
-    assert_eq!(state.leases.applied(), 9, "the expiry is the last entry about a lease");
+    assert_eq!(state.leases.applied(), 9, "the expiry must be the last lease entry");
     assert_eq!(state.book.members()[&1].at, address(1));
     assert_eq!((state.book.members()[&1].number, state.book.members()[&1].voter), (Some(101), true));
     assert_eq!(state.versions.current(), &Version { number: 1, rules: rules() });
@@ -443,7 +443,8 @@
     let hard = store.initial_state().unwrap().hard_state;
     let replayed = member(store, founders, 0);
     check_logged(&state(&replayed));
-    // What was committed after the last write is committed anew: it is in the log all the same.
+    // Entries committed after the last write are still in the log, and are committed again after the
+    // restart.
     assert_eq!((hard.term, hard.vote), (1, 1));
     assert_eq!(state(&replayed).leases, expected.leases);
 }
@@ -452,7 +453,7 @@
 fn a_compacted_store_is_read_and_the_same_run_stores_the_same_bytes() {
     let folder = Folder::new("compacted");
     let mut run = logged(&folder.store());
-    // A change of members compacts the log at once.
+    // A membership change compacts the log at once.
     run.ask(Request::Add(address(2)));
     let sweep = Command::Renew { task: "sweep".into(), holder: "p1".into(), token: 4 };
     run.ask(Request::Lease(sweep));
