--- a/cli/src/coord.rs
+++ b/cli/src/coord.rs
@@ -129,7 +129,7 @@
             return Ok(self.at.iter().zip(0..).map(|(&at, n)| (u64::MAX - n, at)).collect());
         }
         let file = self.file().ok_or("which group: --at ADDRESS, --coord FILE or NOTCHDOOR_COORD")?;
-        Ok(tasks(&file).map_err(|e| e.to_string())?.doors)
+        Ok(tasks(&file).map_err(|e| e.to_string())?.members)
     }
 
     pub fn limit(&self) -> Result<Duration, String> {
--- a/coordination/src/check/tests.rs
+++ b/coordination/src/check/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_disagreement_runs_over_periods_that_follow_one_another() {
+fn adjacent_periods_count_as_one_disagreement() {
     let on = |version, from, until| Period { version, from, until };
     let a = vec![on(1, 0, 100), on(2, 100, 900)];
     let b = vec![on(1, 0, 150), on(1, 150, 180), on(2, 300, 900)];
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_way_to_break_the_property_is_found() {
+fn each_violation_is_reported() {
     let good = [act(0, 5, "a", 2, true), act(6, 9, "b", 4, true), act(10, 10, "a", 2, false)];
     assert_eq!(check(&good), Ok(Checked { admitted: 2, refused: 1, handovers: 1, tasks: 1 }));
     let breaks = |actions: &[Action], told: &str| {
--- a/coordination/src/config.rs
+++ b/coordination/src/config.rs
@@ -35,15 +35,15 @@
 use crate::holder::Drift;
 use crate::lease::{is_name, Bounds};
 use crate::membership::MemberAddr;
-use crate::membership::MOST_MEMBERS;
+use crate::membership::MAX_MEMBERS;
 use crate::raft_node::RaftTiming;
 use crate::session::Endpoint;
-use crate::shard_map::{ShardMapParameters, MOST_NAME};
-use crate::versioned_config::WITHIN_MS;
+use crate::shard_map::{ShardMapParameters, MAX_NAME_BYTES};
+use crate::versioned_config::DEFAULT_WITHIN_MS;
 use crate::versioned_config::{BlockRules, ConfirmationTiming};
 
 /// Upper limit of the `lease.max_tasks` setting. A snapshot of the lease table must fit into one frame.
-const MOST_TASKS: usize = 8192;
+const MAX_TABLE_TASKS: usize = 8192;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -63,14 +63,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VersionsFile {
-    #[serde(default = "usual_within")]
+    #[serde(default = "default_within_ms")]
     within_ms: u64,
     #[serde(default)]
     guard: BlockRules,
 }
 
-fn usual_within() -> u64 {
-    WITHIN_MS
+fn default_within_ms() -> u64 {
+    DEFAULT_WITHIN_MS
 }
 
 impl VersionsFile {
@@ -178,11 +178,11 @@
         return Err(at("member", "id", "member ids must be unique and not 0".into()));
     }
     // Even counts are allowed, because members are added and removed one at a time.
-    if raw.member.len() > MOST_MEMBERS {
+    if raw.member.len() > MAX_MEMBERS {
         return Err(at(
             "member",
             "id",
-            format!("at most {MOST_MEMBERS} members are allowed, got {}", raw.member.len()),
+            format!("at most {MAX_MEMBERS} members are allowed, got {}", raw.member.len()),
         ));
     }
     if !ids.contains(&raw.group.id) {
@@ -213,8 +213,8 @@
         ));
     }
     // Larger tables would not fit into a snapshot frame.
-    if l.max_tasks == 0 || l.max_tasks > MOST_TASKS {
-        return Err(at("lease", "max_tasks", format!("must be from 1 to {MOST_TASKS}")));
+    if l.max_tasks == 0 || l.max_tasks > MAX_TABLE_TASKS {
+        return Err(at("lease", "max_tasks", format!("must be from 1 to {MAX_TABLE_TASKS}")));
     }
     if raw.drift.rate_ppm > 100_000 || raw.drift.margin_ms * 2 > l.min_ttl_ms {
         return Err(at(
@@ -225,7 +225,7 @@
     }
     let drift = Drift { rate_ppm: raw.drift.rate_ppm, margin_ms: raw.drift.margin_ms };
     let versions =
-        raw.versions.unwrap_or(VersionsFile { within_ms: WITHIN_MS, guard: BlockRules::default() });
+        raw.versions.unwrap_or(VersionsFile { within_ms: DEFAULT_WITHIN_MS, guard: BlockRules::default() });
     let terms = versions.check(file, text, drift)?;
     Ok(GroupConfig {
         id: raw.group.id,
@@ -256,33 +256,33 @@
     /// Name of the task in the lease group.
     pub name: String,
     /// TTL of the lease, in milliseconds. Defaults to 5000.
-    #[serde(default = "usual_ttl")]
+    #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
     /// Address that the lease holder calls.
     pub call: SocketAddr,
     /// Request path of the call. Defaults to `/`.
-    #[serde(default = "usual_path")]
+    #[serde(default = "default_path")]
     pub path: String,
     /// Interval between calls, in milliseconds. Defaults to 1000.
-    #[serde(default = "usual_every")]
+    #[serde(default = "default_every_ms")]
     pub every_ms: u64,
 }
 
-fn usual_ttl() -> u64 {
+fn default_ttl_ms() -> u64 {
     5_000
 }
 
-fn usual_path() -> String {
+fn default_path() -> String {
     "/".to_owned()
 }
 
-fn usual_every() -> u64 {
+fn default_every_ms() -> u64 {
     1_000
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct DoorFile {
+struct MemberEntry {
     id: u64,
     client: SocketAddr,
     /// Ignored. Lets a proxy use the member list of a group member unchanged.
@@ -297,7 +297,7 @@
     /// Name of the machine. Replicas of a shard are placed on different machines.
     pub machine: String,
     /// Name of the zone. Defaults to `-`.
-    #[serde(default = "usual_zone")]
+    #[serde(default = "default_zone")]
     pub zone: String,
     /// Listen address for other proxies.
     pub listen: SocketAddr,
@@ -306,13 +306,13 @@
     /// Data directory, kept across restarts.
     pub data: PathBuf,
     /// Number of shards. Must be the same for all proxies.
-    #[serde(default = "usual_shards")]
+    #[serde(default = "default_shards")]
     pub shards: u32,
     /// Target number of replicas per shard.
-    #[serde(default = "usual_copies")]
+    #[serde(default = "default_copies")]
     pub copies: usize,
     /// Minimum number of in-sync replicas for a shard to accept writes.
-    #[serde(default = "usual_least")]
+    #[serde(default = "default_least")]
     pub least: usize,
 }
 
@@ -324,34 +324,37 @@
 
     fn check(&self) -> Result<(), (&'static str, String)> {
         for (field, name) in [("machine", &self.machine), ("zone", &self.zone)] {
-            if !is_name(name, MOST_NAME) {
-                return Err((field, format!("must be 1 to {MOST_NAME} bytes of A-Z a-z 0-9 . _ : / @ -")));
+            if !is_name(name, MAX_NAME_BYTES) {
+                return Err((
+                    field,
+                    format!("must be 1 to {MAX_NAME_BYTES} bytes of A-Z a-z 0-9 . _ : / @ -"),
+                ));
             }
         }
         self.shape().check()
     }
 }
 
-fn usual_zone() -> String {
+fn default_zone() -> String {
     "-".to_owned()
 }
 
-fn usual_shards() -> u32 {
+fn default_shards() -> u32 {
     64
 }
 
-fn usual_copies() -> usize {
+fn default_copies() -> usize {
     3
 }
 
-fn usual_least() -> usize {
+fn default_least() -> usize {
     2
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TasksFile {
-    member: Vec<DoorFile>,
+    member: Vec<MemberEntry>,
     #[serde(default)]
     task: Vec<Task>,
     #[serde(default)]
@@ -364,7 +367,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TasksConfig {
     /// Members of the group, by id and client address.
-    pub doors: Vec<Endpoint>,
+    pub members: Vec<Endpoint>,
     /// Periodic calls to make while holding their leases.
     pub tasks: Vec<Task>,
     /// Bounds on clock drift.
@@ -376,7 +379,7 @@
 }
 
 /// Maximum number of tasks of one proxy.
-pub const MOST_PROXY_TASKS: usize = 64;
+pub const MAX_PROXY_TASKS: usize = 64;
 
 /// Parses and validates the settings of a proxy. `file` is the file name used in errors.
 pub fn parse_tasks(file: &str, text: &str) -> Result<TasksConfig, String> {
@@ -386,11 +389,11 @@
     let wrong = |n: usize, field: &str, why: String| {
         Err(format!("{file}:{}: task.{field}: {why}", line_of_nth(text, "task", n, field)))
     };
-    if raw.member.is_empty() || raw.member.len() > MOST_MEMBERS {
-        return Err(format!("{file}:1: member: must list 1 to {MOST_MEMBERS} members"));
+    if raw.member.is_empty() || raw.member.len() > MAX_MEMBERS {
+        return Err(format!("{file}:1: member: must list 1 to {MAX_MEMBERS} members"));
     }
-    if raw.task.len() > MOST_PROXY_TASKS || names.len() != raw.task.len() {
-        return wrong(0, "name", format!("at most {MOST_PROXY_TASKS} tasks are allowed, with unique names"));
+    if raw.task.len() > MAX_PROXY_TASKS || names.len() != raw.task.len() {
+        return wrong(0, "name", format!("at most {MAX_PROXY_TASKS} tasks are allowed, with unique names"));
     }
     for (n, task) in raw.task.iter().enumerate() {
         if !is_name(&task.name, bounds.max_name) {
@@ -432,7 +435,7 @@
     }
     let guard = raw.versions.map(|v| v.check(file, text, drift).map(|_| v.guard)).transpose()?;
     Ok(TasksConfig {
-        doors: raw.member.iter().map(|m| (m.id, m.client)).collect(),
+        members: raw.member.iter().map(|m| (m.id, m.client)).collect(),
         tasks: raw.task,
         drift,
         guard,
--- a/coordination/src/config/tests.rs
+++ b/coordination/src/config/tests.rs
@@ -3,7 +3,7 @@
 const THREE: &str = "[group]\nid = 2\ndata = \"m2\"\n\n[[member]]\nid = 1\npeer = \"127.0.0.1:7101\"\nclient = \"127.0.0.1:7201\"\n\n[[member]]\nid = 2\npeer = \"127.0.0.1:7102\"\nclient = \"127.0.0.1:7202\"\n\n[[member]]\nid = 3\npeer = \"127.0.0.1:7103\"\nclient = \"127.0.0.1:7203\"\n";
 
 #[test]
-fn a_group_of_three_is_read_and_errors_name_line_and_field() {
+fn member_settings_are_parsed_and_errors_name_line_and_field() {
     let config = parse("g.toml", THREE).unwrap();
     assert_eq!((config.id, config.me().peer.port(), config.pace.election_ticks), (2, 7102, 10));
     let bad = THREE.replace("id = 2\ndata", "id = 9\ndata");
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn a_proxys_tasks_are_read_and_errors_name_the_task_at_fault() {
+fn proxy_settings_are_parsed_and_errors_name_the_invalid_task() {
     let text = "[[member]]\nid = 1\nclient = \"127.0.0.1:7201\"\n\n[[task]]\nname = \"warm\"\ncall = \"127.0.0.1:9\"\n\n[[task]]\nname = \"probe\"\nttl_ms = 2000\nevery_ms = 100\ncall = \"127.0.0.1:9\"\npath = \"/origin\"\n";
     let config = parse_tasks("t.toml", text).unwrap();
-    assert_eq!((config.doors.len(), config.tasks[0].ttl_ms, config.tasks[1].every_ms), (1, 5_000, 100));
+    assert_eq!((config.members.len(), config.tasks[0].ttl_ms, config.tasks[1].every_ms), (1, 5_000, 100));
     for (from, to, told) in [
         ("every_ms = 100", "every_ms = 1", "t.toml:12: task.every_ms: must be from 10 to 3600000"),
         ("ttl_ms = 2000", "ttl_ms = 20", "t.toml:11: task.ttl_ms: must be from 500 to 60000"),
--- a/coordination/src/fence.rs
+++ b/coordination/src/fence.rs
@@ -38,7 +38,7 @@
             return Err(Stale { wanted });
         }
         if !self.highest.contains_key(task) && self.highest.len() >= self.max_tasks {
-            self.forget_one();
+            self.evict_one();
         }
         self.highest.insert(task.to_owned(), (token, self.seen));
         Ok(())
@@ -50,7 +50,7 @@
     }
 
     /// Evicts the least recently used task and raises the floor to its token.
-    fn forget_one(&mut self) {
+    fn evict_one(&mut self) {
         let oldest =
             self.highest.iter().min_by_key(|(_, &(_, seen))| seen).map(|(k, &(t, _))| (k.clone(), t));
         if let Some((task, token)) = oldest {
--- a/coordination/src/fence/tests.rs
+++ b/coordination/src/fence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_lower_token_is_refused_an_equal_one_admitted() {
+fn lower_token_is_refused_and_equal_token_admitted() {
     let mut f = Fence::new(8);
     assert_eq!(f.admit("warm", 7), Ok(()));
     assert_eq!(f.admit("warm", 7), Ok(()));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_forgotten_task_still_refuses_its_old_holder() {
+fn evicted_task_still_refuses_tokens_below_the_floor() {
     let mut f = Fence::new(2);
     f.admit("a", 10).unwrap();
     f.admit("b", 3).unwrap();
--- a/coordination/src/holder/tests.rs
+++ b/coordination/src/holder/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_holder_stops_before_the_group_frees_the_task_even_with_drift() {
+fn holder_lease_ends_before_group_expiry_with_maximum_drift() {
     let d = Drift::default();
     let (sent, ttl) = (1_000, 3_000);
     let until = d.act_until(sent, ttl);
--- a/coordination/src/lease/tests.rs
+++ b/coordination/src/lease/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_second_holder_is_refused_and_tokens_grow_across_holders() {
+fn second_holder_is_refused_and_tokens_increase_across_holders() {
     let (mut t, b) = (LeaseTable::default(), Bounds::default());
     assert_eq!(t.apply(3, &acquire("warm", "a"), &b), Outcome::Granted { token: 3, ttl_ms: 3000 });
     assert_eq!(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_expiry_that_a_renewal_overtook_is_void() {
+fn expiry_older_than_a_renewal_has_no_effect() {
     let (mut t, b) = (LeaseTable::default(), Bounds::default());
     t.apply(1, &acquire("probe", "a"), &b);
     let renew = Command::Renew { task: "probe".into(), holder: "a".into(), token: 1 };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_revoked_grant_takes_no_renewal_and_is_free_only_once_it_ends() {
+fn revoked_grant_refuses_renewal_and_is_held_until_released() {
     let (mut t, b) = (LeaseTable::default(), Bounds::default());
     t.apply(1, &acquire("warm", "a"), &b);
     let revoke = Command::Revoke { task: "warm".into(), token: 1 };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_new_leader_counts_a_full_ttl_from_its_election() {
+fn new_leader_restarts_the_ttl_of_every_grant() {
     let (mut t, b) = (LeaseTable::default(), Bounds::default());
     t.apply(1, &acquire("probe", "a"), &b);
     let mut e = Expiries::default();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn bad_names_and_ttls_are_refused_by_field() {
+fn invalid_names_and_ttls_are_refused_with_the_field_name() {
     let (mut t, b) = (LeaseTable::default(), Bounds::default());
     let long = Command::Acquire { task: "x".repeat(200), holder: "a".into(), ttl_ms: 3000 };
     assert!(matches!(t.apply(1, &long, &b), Outcome::Refused(Refusal::Invalid(w)) if w.starts_with("task")));
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of members in a group.
-pub const MOST_MEMBERS: usize = 7;
+pub const MAX_MEMBERS: usize = 7;
 
 /// Addresses of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/coordination/src/membership/tests.rs
+++ b/coordination/src/membership/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_group_is_founded_by_all_together_and_never_by_an_emptied_disk() {
+fn group_is_founded_by_all_members_and_an_emptied_disk_is_refused() {
     let new = |id| (id, Handshake::New { at: at(id), number: id * 10 });
     let mut heard = BTreeMap::from([new(2)]);
     assert_eq!(decide_start(at(1), 10, &[2, 3], &heard), StartDecision::Wait(vec![3]));
--- a/coordination/src/raft_node.rs
+++ b/coordination/src/raft_node.rs
@@ -28,7 +28,7 @@
 use crate::versioned_config::{BlockRules, ConfirmationTiming, ProposalOutcome, VersionedConfig};
 
 /// Number of applied entries after which the log is compacted.
-pub const COMPACT_EVERY: u64 = 1_000;
+pub const COMPACTION_INTERVAL_ENTRIES: u64 = 1_000;
 
 /// Tick, election and heartbeat intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -139,7 +139,7 @@
 }
 
 /// Maximum number of entries that a learner may lag behind the log when it is made a voter.
-const CAUGHT_UP: u64 = 64;
+const MAX_PROMOTION_LAG_ENTRIES: u64 = 64;
 
 /// The Raft node of one member of the group.
 ///
@@ -162,26 +162,26 @@
     changing: Option<(u64, u64)>,
     reads: BTreeMap<u64, PendingRead>,
     /// Reads received since the last round.
-    gathered: Vec<(u64, ReadKind)>,
+    queued_reads: Vec<(u64, ReadKind)>,
     batch: u64,
     /// When the pending version was applied or this member was elected, whichever is later, and whether
     /// bringing it into force was proposed.
     pending_since: Millis,
     forced: bool,
-    expiring: BTreeSet<(String, u64, u64)>,
+    proposed_expiries: BTreeSet<(String, u64, u64)>,
     /// When each replication node was last confirmed by this member as leader, and when it became leader.
     confirmed: BTreeMap<NodeId, Millis>,
     leads_since: Millis,
     /// Runs of nodes that were proposed to be marked down.
-    downing: BTreeSet<(NodeId, u64)>,
+    proposed_down: BTreeSet<(NodeId, u64)>,
     /// Retry pacing per held task. Entries are removed with the grant.
-    crowds: BTreeMap<String, RetryPacer>,
+    retry_pacers: BTreeMap<String, RetryPacer>,
     now: Millis,
     ticked: Millis,
     leader: u64,
     rng: ChaCha8Rng,
     /// Randomized election timeout in ticks, and the term and role it was drawn for.
-    patience: (usize, u64, StateRole),
+    election_timeout: (usize, u64, StateRole),
     out: RoundOutput,
 }
 
@@ -237,21 +237,21 @@
             changed: false,
             changing: None,
             reads: BTreeMap::new(),
-            gathered: Vec::new(),
+            queued_reads: Vec::new(),
             batch: 0,
             pending_since: now,
             forced: false,
-            expiring: BTreeSet::new(),
+            proposed_expiries: BTreeSet::new(),
             confirmed: BTreeMap::new(),
             leads_since: 0,
-            downing: BTreeSet::new(),
-            crowds: BTreeMap::new(),
+            proposed_down: BTreeSet::new(),
+            retry_pacers: BTreeMap::new(),
             now,
             ticked: now,
             leader: 0,
             rng: ChaCha8Rng::seed_from_u64(start ^ id.rotate_left(32)),
             // Replaced before the first tick, because no member starts as leader.
-            patience: (0, 0, StateRole::Leader),
+            election_timeout: (0, 0, StateRole::Leader),
             out: RoundOutput::default(),
         };
         member.replay(applied)?;
@@ -318,7 +318,7 @@
     }
 
     /// Starts a leadership transfer to the most advanced voter, for example before a shutdown.
-    pub fn hand_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let others = self.state.book.members().values().filter(|m| m.voter && m.at.id != self.id());
         let matched = |id: &u64| self.node.raft.prs().get(*id).map_or(0, |p| p.matched);
         if let Some(next) = others.map(|m| m.at.id).max_by_key(matched) {
@@ -361,22 +361,22 @@
         self.ticked = self.ticked.max(self.now.saturating_sub(most));
         while self.ticked + self.pace.tick_ms <= self.now {
             self.ticked += self.pace.tick_ms;
-            self.draw_patience();
+            self.randomize_election_timeout();
             self.node.tick();
         }
         if self.leads() {
             for expire in self.expiries.expired(self.now) {
                 if let Command::Expire { task, token, as_of } = &expire {
-                    if self.expiring.insert((task.clone(), *token, *as_of)) {
+                    if self.proposed_expiries.insert((task.clone(), *token, *as_of)) {
                         // Proposed without an origin: no client waits for this entry.
                         let _ = self.propose(Origin::default(), 0, LogCommand::Lease(expire));
                     }
                 }
             }
             self.promote();
-            self.name_silent();
-            self.force_due();
-            self.read_gathered();
+            self.propose_down();
+            self.propose_force();
+            self.confirm_queued_reads();
         }
         while self.node.has_ready() {
             self.round()?;
@@ -420,7 +420,7 @@
         self.node.advance_apply();
         let applied = self.node.raft.raft_log.applied;
         let changed = std::mem::take(&mut self.changed);
-        if changed || applied >= self.node.store().first_index()? + COMPACT_EVERY {
+        if changed || applied >= self.node.store().first_index()? + COMPACTION_INTERVAL_ENTRIES {
             self.node.store().compact(applied, self.snapshot_data())?;
         }
         Ok(())
--- a/coordination/src/raft_node/apply.rs
+++ b/coordination/src/raft_node/apply.rs
@@ -23,9 +23,9 @@
                 self.node.store().entries(first, upto + 1, None, raft::GetEntriesContext::empty(false))?;
             for entry in entries {
                 match entry.get_entry_type() {
-                    EntryType::EntryNormal => self.apply_said(&entry),
-                    EntryType::EntryConfChange => self.book_change::<ConfChange>(&entry),
-                    EntryType::EntryConfChangeV2 => self.book_change::<ConfChangeV2>(&entry),
+                    EntryType::EntryNormal => self.apply_normal(&entry),
+                    EntryType::EntryConfChange => self.update_membership::<ConfChange>(&entry),
+                    EntryType::EntryConfChangeV2 => self.update_membership::<ConfChangeV2>(&entry),
                 }
             }
         }
@@ -36,7 +36,7 @@
     pub(super) fn apply(&mut self, entries: Vec<Entry>) -> raft::Result<()> {
         for entry in entries {
             match entry.get_entry_type() {
-                EntryType::EntryNormal => self.apply_said(&entry),
+                EntryType::EntryNormal => self.apply_normal(&entry),
                 EntryType::EntryConfChange => self.apply_change::<ConfChange>(&entry)?,
                 EntryType::EntryConfChangeV2 => self.apply_change::<ConfChangeV2>(&entry)?,
             }
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    pub(super) fn apply_said(&mut self, entry: &Entry) {
+    pub(super) fn apply_normal(&mut self, entry: &Entry) {
         // The first entry of a new leader is empty.
         let Ok(proposal) = serde_json::from_slice::<Proposal>(entry.get_data()) else { return };
         let answer = match proposal.entry {
@@ -52,7 +52,7 @@
             LogCommand::Enlist { id, number } => Answer::Enlisted(self.state.book.enlist(id, number)),
             LogCommand::Copies(change) => {
                 if let ShardMapChange::Down { id, start } = change {
-                    self.downing.remove(&(id, start));
+                    self.proposed_down.remove(&(id, start));
                 }
                 if let ShardMapChange::Join { at, .. } = &change {
                     self.confirmed.insert(at.id, self.now);
@@ -88,11 +88,11 @@
         let task = task_of(&command);
         self.expiries.follow(task, &outcome, &self.state.leases, self.now);
         if !self.state.leases.grants().contains_key(task) {
-            self.crowds.remove(task);
+            self.retry_pacers.remove(task);
         }
         let left_ms = self.expiries.left(task, self.now);
         if let Command::Expire { task, token, as_of } = &command {
-            self.expiring.remove(&(task.clone(), *token, *as_of));
+            self.proposed_expiries.remove(&(task.clone(), *token, *as_of));
         }
         self.out.events.push(Event::Applied { index, command, outcome: outcome.clone() });
         Answer::Done { outcome, left_ms }
--- a/coordination/src/raft_node/membership_changes.rs
+++ b/coordination/src/raft_node/membership_changes.rs
@@ -1,14 +1,14 @@
 //! Membership changes: request checks, proposals (one at a time) and their application.
 
-use super::{Event, RaftNode, CAUGHT_UP};
+use super::{Event, RaftNode, MAX_PROMOTION_LAG_ENTRIES};
 use crate::log_storage::LogStorage;
-use crate::membership::{MemberAddr, MOST_MEMBERS};
+use crate::membership::{MemberAddr, MAX_MEMBERS};
 use crate::protocol::Answer;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry};
 use raft_proto::ConfChangeI;
 
 impl<S: LogStorage> RaftNode<S> {
-    pub(super) fn ask_add(&mut self, req: u64, at: MemberAddr) -> Option<Answer> {
+    pub(super) fn request_add(&mut self, req: u64, at: MemberAddr) -> Option<Answer> {
         let book = &self.state.book;
         if book.members().get(&at.id).is_some_and(|m| m.at == at) {
             // A retry of a change that was already applied.
@@ -18,14 +18,14 @@
             let told = format!("id {}: the id of a new member must be above {}", at.id, book.highest());
             return Some(Answer::Refused(told));
         }
-        if book.members().len() >= MOST_MEMBERS {
-            return Some(Answer::Refused(format!("a group may have at most {MOST_MEMBERS} members")));
+        if book.members().len() >= MAX_MEMBERS {
+            return Some(Answer::Refused(format!("a group may have at most {MAX_MEMBERS} members")));
         }
         let context = serde_json::to_vec(&at).unwrap_or_default();
         self.change(req, at.id, ConfChangeType::AddLearnerNode, context)
     }
 
-    pub(super) fn ask_remove(&mut self, req: u64, id: u64) -> Option<Answer> {
+    pub(super) fn request_remove(&mut self, req: u64, id: u64) -> Option<Answer> {
         let members = self.state.book.members();
         if !members.contains_key(&id) {
             return Some(Answer::Changed);
@@ -35,7 +35,7 @@
         }
         if id == self.id() {
             // Transfer leadership first; the caller retries at the new leader.
-            self.hand_over();
+            self.transfer_leadership();
             return Some(Answer::Later { retry_after_ms: self.pace.tick_ms * 5 });
         }
         self.change(req, id, ConfChangeType::RemoveNode, Vec::new())
@@ -74,7 +74,11 @@
         }
         let last = self.node.raft.raft_log.last_index();
         let ready = |id: u64| {
-            self.node.raft.prs().get(id).is_some_and(|p| p.recent_active && p.matched + CAUGHT_UP >= last)
+            self.node
+                .raft
+                .prs()
+                .get(id)
+                .is_some_and(|p| p.recent_active && p.matched + MAX_PROMOTION_LAG_ENTRIES >= last)
         };
         // Learners without an enlisted store are not running yet.
         let mut learners = self.state.book.members().values().filter(|m| !m.voter && m.number.is_some());
@@ -88,7 +92,7 @@
         &mut self,
         entry: &Entry,
     ) -> raft::Result<()> {
-        self.book_change::<C>(entry);
+        self.update_membership::<C>(entry);
         // raft-rs replaces a change with an empty entry if another one was in progress.
         let Ok(change) = C::parse_from_bytes(entry.get_data()) else { return Ok(()) };
         let goes = |c: &ConfChangeSingle| {
@@ -118,7 +122,7 @@
     }
 
     /// Updates the replicated membership from a membership change.
-    pub(super) fn book_change<C: ConfChangeI + protobuf::Message>(&mut self, entry: &Entry) {
+    pub(super) fn update_membership<C: ConfChangeI + protobuf::Message>(&mut self, entry: &Entry) {
         let Ok(change) = C::parse_from_bytes(entry.get_data()) else { return };
         let change = change.as_v2();
         for single in &change.changes {
--- a/coordination/src/raft_node/reads.rs
+++ b/coordination/src/raft_node/reads.rs
@@ -12,18 +12,18 @@
         if !self.node.raft.commit_to_current_term() {
             return Some(Answer::Later { retry_after_ms: self.pace.tick_ms * 2 });
         }
-        self.gathered.push((req, what));
+        self.queued_reads.push((req, what));
         None
     }
 
     /// Requests one read-index confirmation for all reads received since the last round.
-    pub(super) fn read_gathered(&mut self) {
-        if self.gathered.is_empty() {
+    pub(super) fn confirm_queued_reads(&mut self) {
+        if self.queued_reads.is_empty() {
             return;
         }
         self.batch += 1;
         let until = self.now + self.pace.tick_ms * self.pace.election_ticks as u64;
-        let asked = std::mem::take(&mut self.gathered);
+        let asked = std::mem::take(&mut self.queued_reads);
         self.reads.insert(self.batch, PendingRead { asked, until, index: None });
         self.node.read_index(self.batch.to_be_bytes().to_vec());
     }
@@ -41,7 +41,7 @@
                 let versions = &self.state.versions;
                 let answer = match what {
                     _ if !confirmed => Answer::Later { retry_after_ms: self.pace.tick_ms * 2 },
-                    ReadKind::Grants(task) => Answer::Listing(self.told(task.as_deref())),
+                    ReadKind::Grants(task) => Answer::Listing(self.list_grants(task.as_deref())),
                     ReadKind::Versions => Answer::Versions(versions.clone()),
                     ReadKind::Confirmation(have) => {
                         let pending = self.now.saturating_sub(self.pending_since);
@@ -63,7 +63,7 @@
     ) -> ShardMapConfirmation {
         let shards = &self.state.shards;
         // A node that is proposed to be marked down is no longer confirmed and has to join again.
-        let up = node.is_none_or(|n| shards.up().any(|up| up == n) && !self.downing.contains(&n));
+        let up = node.is_none_or(|n| shards.up().any(|up| up == n) && !self.proposed_down.contains(&n));
         if let Some((id, _)) = node.filter(|_| up) {
             self.confirmed.insert(id, self.now);
         }
@@ -76,13 +76,13 @@
         }
     }
 
-    pub(super) fn told(&self, task: Option<&str>) -> Vec<LeaseInfo> {
+    pub(super) fn list_grants(&self, task: Option<&str>) -> Vec<LeaseInfo> {
         let grants = self.state.leases.grants().iter().filter(|(name, _)| task.is_none_or(|t| t == *name));
-        let told = |(task, grant): (&String, &Grant)| LeaseInfo {
+        let lease_info = |(task, grant): (&String, &Grant)| LeaseInfo {
             task: task.clone(),
             grant: grant.clone(),
             left_ms: self.expiries.left(task, self.now),
         };
-        grants.map(told).collect()
+        grants.map(lease_info).collect()
     }
 }
--- a/coordination/src/raft_node/requests.rs
+++ b/coordination/src/raft_node/requests.rs
@@ -18,7 +18,7 @@
             return Some(self.not_leader());
         }
         let later = Some(Answer::Later { retry_after_ms: self.pace.tick_ms * 2 });
-        let reads = self.gathered.len() + self.reads.values().map(|r| r.asked.len()).sum::<usize>();
+        let reads = self.queued_reads.len() + self.reads.values().map(|r| r.asked.len()).sum::<usize>();
         if self.waiting.len() + reads >= self.pace.max_waiting || self.waiting.contains(&req) {
             return later;
         }
@@ -45,8 +45,8 @@
             Request::List { task } => return self.read(req, ReadKind::Grants(task)),
             Request::Versions => return self.read(req, ReadKind::Versions),
             Request::Confirm { have } => return self.read(req, ReadKind::Confirmation(have)),
-            Request::Add(at) => return self.ask_add(req, at),
-            Request::Remove { id } => return self.ask_remove(req, id),
+            Request::Add(at) => return self.request_add(req, at),
+            Request::Remove { id } => return self.request_remove(req, id),
             Request::Status | Request::Members | Request::Hello => return None,
         };
         match self.propose(self.origin, req, entry) {
@@ -89,8 +89,8 @@
         let Command::Acquire { task, holder, .. } = command else { return None };
         let grant = self.state.leases.grants().get(task).filter(|g| g.holder != *holder)?;
         let left_ms = self.expiries.left(task, self.now);
-        let crowd = self.crowds.entry(task.clone()).or_default();
-        let again_ms = crowd.again(grant.ttl_ms, left_ms.unwrap_or(grant.ttl_ms), self.now);
+        let pacer = self.retry_pacers.entry(task.clone()).or_default();
+        let again_ms = pacer.next_delay(grant.ttl_ms, left_ms.unwrap_or(grant.ttl_ms), self.now);
         Some(Answer::Held { holder: grant.holder.clone(), left_ms, again_ms })
     }
 
--- a/coordination/src/session.rs
+++ b/coordination/src/session.rs
@@ -6,19 +6,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::client::{TaskClient, BACKOFF_MS};
+use crate::client::{TaskClient, BACKOFF_RANGE_MS};
 use crate::confirm::Confirmer;
 use crate::holder::Drift;
 use crate::lease::Millis;
-use crate::membership::MOST_MEMBERS;
+use crate::membership::MAX_MEMBERS;
 use crate::protocol::{Answer, Request};
 
 /// Flag in the request numbers of confirmations. Request numbers of tasks never reach this bit.
-const CONFIRM: u64 = 1 << 63;
+const CONFIRMATION_FLAG: u64 = 1 << 63;
 /// Request number of the members request. Request numbers of tasks are greater.
-const LEARN: u64 = 0;
+const MEMBERS_REQUEST: u64 = 0;
 /// Interval between requests for the member list, in milliseconds.
-const LEARN_EVERY: Millis = 30_000;
+const MEMBERS_INTERVAL_MS: Millis = 30_000;
 
 /// Id and client address of a group member.
 pub type Endpoint = (u64, SocketAddr);
@@ -27,18 +27,18 @@
 /// its advertised address, else the next member in the list. The configured address comes first because it
 /// may lead through a relay.
 pub fn next_endpoint(
-    doors: &[Endpoint],
+    members: &[Endpoint],
     from: SocketAddr,
     leader: Option<u64>,
     at: Option<SocketAddr>,
 ) -> SocketAddr {
-    let listed = leader.and_then(|id| doors.iter().find(|(d, _)| *d == id)).map(|&(_, door)| door);
+    let listed = leader.and_then(|id| members.iter().find(|(d, _)| *d == id)).map(|&(_, address)| address);
     // A leader hint that points back to `from` is ignored.
-    if let Some(door) = listed.or(at).filter(|&door| door != from) {
-        return door;
+    if let Some(address) = listed.or(at).filter(|&address| address != from) {
+        return address;
     }
-    let place = doors.iter().position(|&(_, door)| door == from).map_or(0, |p| p + 1);
-    doors[place % doors.len()].1
+    let place = members.iter().position(|&(_, address)| address == from).map_or(0, |p| p + 1);
+    members[place % members.len()].1
 }
 
 /// Leases and configuration version of one process, and its current group member.
@@ -47,21 +47,21 @@
     /// Set if the process applies configuration versions.
     versions: Option<Confirmer>,
     /// Configured members, followed by members learnt from the group.
-    doors: Vec<Endpoint>,
-    of_file: usize,
-    door: SocketAddr,
+    members: Vec<Endpoint>,
+    configured_members: usize,
+    current_address: SocketAddr,
     /// When to request the member list again.
-    learn_at: Millis,
-    dial_at: Millis,
+    members_due_at: Millis,
+    connect_at: Millis,
     failures: u32,
     rng: ChaCha8Rng,
 }
 
 impl Session {
     /// Creates a session that acquires the lease of each of `tasks`, given by name and TTL, for `holder`.
-    /// `doors` must not be empty. `seed` seeds the choice of the first member and the jitter.
+    /// `members` must not be empty. `seed` seeds the choice of the first member and the jitter.
     pub fn new(
-        doors: Vec<Endpoint>,
+        members: Vec<Endpoint>,
         holder: &str,
         tasks: &[(String, Millis)],
         drift: Drift,
@@ -70,15 +70,15 @@
         let clients = tasks.iter().zip(0u64..);
         let tasks = clients.map(|((t, ttl), n)| TaskClient::new(t, holder, *ttl, drift, seed ^ n)).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let door = doors[rng.random_range(0..doors.len())].1;
+        let current_address = members[rng.random_range(0..members.len())].1;
         Session {
             tasks,
             versions: None,
-            of_file: doors.len(),
-            doors,
-            door,
-            learn_at: 0,
-            dial_at: 0,
+            configured_members: members.len(),
+            members,
+            current_address,
+            members_due_at: 0,
+            connect_at: 0,
             failures: 0,
             rng,
         }
@@ -96,8 +96,8 @@
     }
 
     /// Returns the address of the current member and the earliest time to connect to it.
-    pub fn door(&self) -> (SocketAddr, Millis) {
-        (self.door, self.dial_at)
+    pub fn current_member(&self) -> (SocketAddr, Millis) {
+        (self.current_address, self.connect_at)
     }
 
     /// Returns the lease clients, in the order of the tasks passed to [`Session::new`].
@@ -113,12 +113,12 @@
         let mut due: Vec<_> =
             asks.map(|(ask, n)| (ask.req * count + n, Request::Lease(ask.command))).collect();
         if let Some((number, have)) = self.versions.as_mut().and_then(|v| v.due(now)) {
-            due.push((CONFIRM | number, Request::Confirm { have }));
+            due.push((CONFIRMATION_FLAG | number, Request::Confirm { have }));
         }
         // Refreshed along with other requests, because all configured members may have been replaced.
-        if now >= self.learn_at && !due.is_empty() {
-            self.learn_at = now + LEARN_EVERY;
-            due.push((LEARN, Request::Members));
+        if now >= self.members_due_at && !due.is_empty() {
+            self.members_due_at = now + MEMBERS_INTERVAL_MS;
+            due.push((MEMBERS_REQUEST, Request::Members));
         }
         due
     }
@@ -137,70 +137,70 @@
 
     /// Processes an answer. Returns `true` if the driver has to connect to another member.
     pub fn answered(&mut self, number: u64, answer: &Answer, now: Millis) -> bool {
-        let nobody = matches!(answer, Answer::NotLeader { leader: None, .. });
-        self.failures = if nobody { self.failures.saturating_add(1) } else { 0 };
+        let no_leader = matches!(answer, Answer::NotLeader { leader: None, .. });
+        self.failures = if no_leader { self.failures.saturating_add(1) } else { 0 };
         if let Answer::Members(members) = answer {
-            self.doors.truncate(self.of_file);
-            let news = members.iter().filter(|(id, _)| !self.doors.iter().any(|(d, _)| d == id));
-            let news: Vec<Endpoint> = news.take(MOST_MEMBERS).copied().collect();
-            self.doors.extend(news);
+            self.members.truncate(self.configured_members);
+            let learnt = members.iter().filter(|(id, _)| !self.members.iter().any(|(d, _)| d == id));
+            let learnt: Vec<Endpoint> = learnt.take(MAX_MEMBERS).copied().collect();
+            self.members.extend(learnt);
             return false;
         }
         let count = self.tasks.len().max(1) as u64;
-        if number & CONFIRM != 0 {
+        if number & CONFIRMATION_FLAG != 0 {
             if let Some(versions) = &mut self.versions {
                 match answer {
-                    Answer::Confirmed(told) => versions.answered(number & !CONFIRM, told, now),
+                    Answer::Confirmed(told) => versions.answered(number & !CONFIRMATION_FLAG, told, now),
                     Answer::Later { retry_after_ms } => {
-                        versions.again(number & !CONFIRM, now.saturating_add(*retry_after_ms));
+                        versions.retry_at(number & !CONFIRMATION_FLAG, now.saturating_add(*retry_after_ms));
                     }
-                    Answer::NotLeader { .. } => versions.again(number & !CONFIRM, now),
-                    _ => versions.again(number & !CONFIRM, now + BACKOFF_MS.1),
+                    Answer::NotLeader { .. } => versions.retry_at(number & !CONFIRMATION_FLAG, now),
+                    _ => versions.retry_at(number & !CONFIRMATION_FLAG, now + BACKOFF_RANGE_MS.1),
                 }
             }
         } else if let Some(task) = self.tasks.get_mut((number % count) as usize) {
             task.answered(number / count, answer, now);
         }
         let Answer::NotLeader { leader, at } = answer else { return false };
-        let to = next_endpoint(&self.doors, self.door, *leader, *at);
+        let to = next_endpoint(&self.members, self.current_address, *leader, *at);
         if leader.is_none() {
             // No leader is elected yet: wait before trying the next member.
             self.wait(now);
         }
-        let moves = self.move_to(to);
-        if moves {
+        let moved = self.move_to(to);
+        if moved {
             // Other requests in flight to the old member are sent again to the new one.
-            self.lost(now);
+            self.requests_lost(now);
         }
-        moves
+        moved
     }
 
-    fn lost(&mut self, now: Millis) {
-        self.tasks.iter_mut().for_each(|t| t.lost(now));
+    fn requests_lost(&mut self, now: Millis) {
+        self.tasks.iter_mut().for_each(|t| t.request_lost(now));
         if let Some(versions) = &mut self.versions {
-            versions.lost(now);
+            versions.request_lost(now);
         }
     }
 
     fn move_to(&mut self, to: SocketAddr) -> bool {
-        self.learn_at = 0;
-        std::mem::replace(&mut self.door, to) != to
+        self.members_due_at = 0;
+        std::mem::replace(&mut self.current_address, to) != to
     }
 
     /// Selects the next member and a delay before connecting, after the current one was unreachable or did
     /// not answer in time.
-    pub fn broken(&mut self, now: Millis) {
-        self.lost(now);
-        self.move_to(next_endpoint(&self.doors, self.door, None, None));
+    pub fn connection_failed(&mut self, now: Millis) {
+        self.requests_lost(now);
+        self.move_to(next_endpoint(&self.members, self.current_address, None, None));
         self.failures = self.failures.saturating_add(1);
         self.wait(now);
     }
 
     fn wait(&mut self, now: Millis) {
         // The back-off grows once all members have been tried.
-        let rounds = self.failures / self.doors.len() as u32;
-        let longest = (BACKOFF_MS.0 << rounds.min(6)).min(BACKOFF_MS.1);
-        self.dial_at = now + self.rng.random_range(BACKOFF_MS.0 / 4..=longest);
+        let rounds = self.failures / self.members.len() as u32;
+        let longest = (BACKOFF_RANGE_MS.0 << rounds.min(6)).min(BACKOFF_RANGE_MS.1);
+        self.connect_at = now + self.rng.random_range(BACKOFF_RANGE_MS.0 / 4..=longest);
     }
 
     /// Handles the refusal of the fencing token of the task at index `place`.
@@ -211,7 +211,7 @@
     }
 
     /// Releases all leases, before the process exits.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn release_all(&mut self, now: Millis) {
         self.tasks.iter_mut().for_each(|t| t.stop_holding(now));
     }
 }
--- a/coordination/src/shard_map.rs
+++ b/coordination/src/shard_map.rs
@@ -13,13 +13,13 @@
 pub type NodeId = u64;
 
 /// Maximum number of shards.
-pub const MOST_SHARDS: u32 = 1024;
+pub const MAX_SHARDS: u32 = 1024;
 /// Maximum number of replicas per shard.
-pub const MOST_COPIES: usize = 5;
+pub const MAX_REPLICAS: usize = 5;
 /// Maximum number of nodes.
-pub const MOST_NODES: usize = 1024;
+pub const MAX_NODES: usize = 1024;
 /// Maximum length of a node's name, machine or zone, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Identity, location and address of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -67,11 +67,11 @@
 impl ShardMapParameters {
     /// Validates the parameters. The error contains the invalid field and its allowed range.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
-        if !(1..=MOST_SHARDS).contains(&self.shards) {
-            return Err(("shards", format!("must be from 1 to {MOST_SHARDS}")));
+        if !(1..=MAX_SHARDS).contains(&self.shards) {
+            return Err(("shards", format!("must be from 1 to {MAX_SHARDS}")));
         }
-        if !(1..=MOST_COPIES).contains(&self.copies) {
-            return Err(("copies", format!("must be from 1 to {MOST_COPIES}")));
+        if !(1..=MAX_REPLICAS).contains(&self.copies) {
+            return Err(("copies", format!("must be from 1 to {MAX_REPLICAS}")));
         }
         if !(1..=self.copies).contains(&self.least) {
             return Err(("least", "must be from 1 to copies".to_owned()));
@@ -214,9 +214,9 @@
 
     fn join(&mut self, at: &NodeInfo, start: u64, shape: ShardMapParameters) -> ShardMapOutcome {
         for (what, name) in [("name", &at.name), ("machine", &at.machine), ("zone", &at.zone)] {
-            if !is_name(name, MOST_NAME) {
+            if !is_name(name, MAX_NAME_BYTES) {
                 return ShardMapOutcome::Refused(format!(
-                    "copies.{what}: must be 1 to {MOST_NAME} bytes of A-Z a-z 0-9 . _ : / @ -"
+                    "copies.{what}: must be 1 to {MAX_NAME_BYTES} bytes of A-Z a-z 0-9 . _ : / @ -"
                 ));
             }
         }
@@ -247,13 +247,13 @@
                 ))
             }
             Some(_) => {}
-            None if self.nodes.len() >= MOST_NODES => {
+            None if self.nodes.len() >= MAX_NODES => {
                 // Remove a node that is down and stores no in-sync replica.
                 let of_use = |id: &NodeId| self.shards.iter().any(|s| s.in_sync.contains(id));
                 let gone = self.nodes.iter().find(|(id, n)| !n.up && !of_use(id)).map(|(id, _)| *id);
                 match gone {
                     Some(id) => drop(self.nodes.remove(&id)),
-                    None => return ShardMapOutcome::Refused(format!("the fleet already has the maximum of {MOST_NODES} nodes")),
+                    None => return ShardMapOutcome::Refused(format!("the fleet already has the maximum of {MAX_NODES} nodes")),
                 }
             }
             None => {}
--- a/coordination/src/shard_map/tests.rs
+++ b/coordination/src/shard_map/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn copies_lie_on_different_machines_and_a_loss_moves_no_more_than_it_must() {
+fn replicas_are_on_different_machines_and_a_lost_node_changes_only_its_shards() {
     let mut t = four();
     // A second proxy on the same machine gets no replica of the same shard.
     join(&mut t, 5, "a", 1);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_of_an_old_epoch_or_would_leave_too_few_changes_nothing() {
+fn drop_with_an_old_epoch_or_below_the_minimum_in_sync_changes_nothing() {
     let mut t = four();
     let Shard { epoch, primary, in_sync, .. } = t.shards()[0].clone();
     let by = primary.unwrap();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_emptied_disk_is_another_node_and_one_put_back_is_refused() {
+fn emptied_disk_joins_as_a_new_node_and_a_restored_backup_is_refused() {
     let mut t = four();
     let was = t.shards().to_vec();
     // A node restarted with its disk stays in sync, with a new epoch where it is primary.
@@ -86,10 +86,10 @@
         assert_eq!(old.in_sync, new.in_sync);
         assert_eq!(new.epoch - old.epoch, u64::from(old.primary == Some(1)));
     }
-    let put_back = join(&mut t, 1, "a", 2 - 1);
+    let restored = join(&mut t, 1, "a", 2 - 1);
     assert!(
-        matches!(&put_back, ShardMapOutcome::Refused(why) if why.contains("restored from a backup")),
-        "{put_back:?}"
+        matches!(&restored, ShardMapOutcome::Refused(why) if why.contains("restored from a backup")),
+        "{restored:?}"
     );
     // With an emptied disk, the node has a new id and stores no replica until it has caught up.
     assert_eq!(t.apply(&ShardMapChange::Down { id: 1, start: 2 }), ShardMapOutcome::Done);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn with_all_gone_a_shard_waits_for_a_disk_and_is_given_up_by_an_operator_only() {
+fn shard_without_available_replicas_waits_for_one_or_for_an_operator_reset() {
     let mut t = four();
     for id in 1..=4 {
         assert_eq!(t.apply(&ShardMapChange::Down { id, start: 1 }), ShardMapOutcome::Done);
--- a/coordination/src/store/tests.rs
+++ b/coordination/src/store/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_store_reopened_has_its_log_and_votes_and_refuses_another_member() {
+fn reopened_store_has_its_log_and_votes_and_refuses_another_member() {
     let dir = std::env::temp_dir().join(format!("notchdoor-store-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("member.redb");
--- a/coordination/src/versioned_config.rs
+++ b/coordination/src/versioned_config.rs
@@ -9,7 +9,7 @@
 use crate::lease::Millis;
 
 /// Default bound in milliseconds on how long two proxies may apply different versions.
-pub const WITHIN_MS: Millis = 4_000;
+pub const DEFAULT_WITHIN_MS: Millis = 4_000;
 
 /// Rules of a configuration version. Also used for the guard, the set of rules that versions may contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -24,12 +24,12 @@
 }
 
 /// Maximum number of names in one set of rules.
-pub const MOST_NAMES: usize = 1024;
+pub const MAX_NAMES: usize = 1024;
 /// Maximum length of a name, in bytes.
-pub const MOST_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Maximum total length of all names, in bytes. Two versions must fit into one frame, even with every byte
 /// escaped.
-pub const MOST_BYTES: usize = 64 << 10;
+pub const MAX_TOTAL_BYTES: usize = 64 << 10;
 
 impl BlockRules {
     /// Returns the sets with their field names in settings files.
@@ -42,16 +42,19 @@
         let all: usize = self.sets().iter().map(|(_, set)| set.len()).sum();
         let bytes: usize = self.sets().iter().flat_map(|(_, set)| set.iter().map(String::len)).sum();
         for (field, set) in self.sets() {
-            if all > MOST_NAMES {
-                return Err((field, format!("{all} names in total, at most {MOST_NAMES} are allowed")));
+            if all > MAX_NAMES {
+                return Err((field, format!("{all} names in total, at most {MAX_NAMES} are allowed")));
             }
-            if bytes > MOST_BYTES {
-                return Err((field, format!("{bytes} bytes in total, at most {MOST_BYTES} are allowed")));
+            if bytes > MAX_TOTAL_BYTES {
+                return Err((
+                    field,
+                    format!("{bytes} bytes in total, at most {MAX_TOTAL_BYTES} are allowed"),
+                ));
             }
-            if let Some(name) = set.iter().find(|n| n.is_empty() || n.len() > MOST_NAME) {
+            if let Some(name) = set.iter().find(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
                 return Err((
                     field,
-                    format!("'{name:.40}' has {} bytes, must be 1 to {MOST_NAME}", name.len()),
+                    format!("'{name:.40}' has {} bytes, must be 1 to {MAX_NAME_BYTES}", name.len()),
                 ));
             }
         }
@@ -189,7 +192,7 @@
 
 impl Default for ConfirmationTiming {
     fn default() -> Self {
-        ConfirmationTiming { within_ms: WITHIN_MS, drift: Drift::default() }
+        ConfirmationTiming { within_ms: DEFAULT_WITHIN_MS, drift: Drift::default() }
     }
 }
 
--- a/coordination/src/versioned_config/tests.rs
+++ b/coordination/src/versioned_config/tests.rs
@@ -8,7 +8,7 @@
     ConfirmationTiming { within_ms: 4_000, drift: Drift { rate_ppm: 10_000, margin_ms: 100 } };
 
 #[test]
-fn of_two_on_one_base_one_wins_and_the_same_twice_changes_nothing() {
+fn one_of_two_proposals_on_a_base_is_accepted_and_repeats_change_nothing() {
     let mut v = VersionedConfig::default();
     assert_eq!(v.propose(0, &rules("a")), ProposalOutcome::Pending { number: 1 });
     assert_eq!(v.propose(0, &rules("b")), ProposalOutcome::Stale { newest: 1 });
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_proxy_switches_at_the_time_it_was_told_and_is_safe_without_a_word() {
+fn view_switches_at_the_announced_time_and_is_in_safe_mode_without_confirmation() {
     let (mut v, mut view) = (VersionedConfig::default(), View::new(TERMS.drift));
     assert_eq!(view.acting(0), Acting::Safe, "nothing is confirmed yet");
     view.confirmed(1_000, v.confirm(view.have(), &TERMS, 0));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_confirmation_that_knows_nothing_of_a_version_ends_before_it_is_in_force() {
+fn confirmations_without_a_version_expire_before_it_is_in_force() {
     // Worst case: the proxy's clock is slow and the leader's fast, and the confirmation was requested just
     // before the version was proposed.
     let good = TERMS.drift.act_until(0, TERMS.good_ms()) as f64 * 1.01;
@@ -70,11 +70,11 @@
     let mut bytes = Vec::new();
     let answer = crate::protocol::Answer::Confirmed(told);
     crate::wire::encode(&crate::wire::Frame::Answer { req: 1, answer }, &mut bytes);
-    assert!(bytes.len() < crate::wire::MAX_ASK, "{}", bytes.len());
+    assert!(bytes.len() < crate::wire::MAX_CLIENT_FRAME_BYTES, "{}", bytes.len());
 }
 
 #[test]
-fn what_is_outside_the_guard_is_named() {
+fn first_name_outside_the_guard_is_returned() {
     let guard = BlockRules { workers: ["w1".to_owned()].into(), ..rules("a") };
     assert!(guard.covers(&rules("a")));
     assert_eq!(rules("b").outside(&guard), Some(("block.classes", "b")));
--- a/coordination/src/wire.rs
+++ b/coordination/src/wire.rs
@@ -17,7 +17,7 @@
 /// largest lease table.
 pub const MAX_FRAME: usize = 8 << 20;
 /// Maximum frame size between a client and a member, in bytes. Fits two versions with the largest rules.
-pub const MAX_ASK: usize = 1 << 20;
+pub const MAX_CLIENT_FRAME_BYTES: usize = 1 << 20;
 
 /// A frame.
 #[derive(Debug, PartialEq)]
--- a/coordination/src/wire/tests.rs
+++ b/coordination/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use crate::lease::Command;
 
 #[test]
-fn frames_come_out_whole_from_any_split_and_a_lying_length_is_refused() {
+fn frames_are_decoded_from_single_bytes_and_an_excessive_length_is_refused() {
     let mut bytes = Vec::new();
     let ask = Frame::Ask {
         req: 7,
--- a/coordination/tests/extreme_answers.rs
+++ b/coordination/tests/extreme_answers.rs
@@ -7,7 +7,7 @@
 use notchdoor_coordination::session::Session;
 use notchdoor_coordination::versioned_config::{BlockRules, Confirmation, VersionInfo};
 
-const FOREVER: u64 = u64::MAX;
+const MAX_MS: u64 = u64::MAX;
 
 fn session() -> Session {
     let endpoint = (1, ([127, 0, 0, 1], 7201).into());
@@ -16,15 +16,15 @@
 }
 
 #[test]
-fn a_lease_client_takes_the_longest_spans_without_an_overflow() {
+fn lease_client_handles_maximum_durations_without_overflow() {
     let done = |outcome, left_ms| Answer::Done { outcome, left_ms };
     let held = Outcome::Refused(Refusal::Held { holder: "q".into(), token: 1 });
     let answers = [
-        Answer::Later { retry_after_ms: FOREVER },
-        Answer::Held { holder: "q".into(), left_ms: Some(FOREVER), again_ms: FOREVER },
-        done(Outcome::Granted { token: 7, ttl_ms: FOREVER }, Some(FOREVER)),
-        done(Outcome::Renewed { token: 7, ttl_ms: FOREVER }, None),
-        done(held, Some(FOREVER)),
+        Answer::Later { retry_after_ms: MAX_MS },
+        Answer::Held { holder: "q".into(), left_ms: Some(MAX_MS), again_ms: MAX_MS },
+        done(Outcome::Granted { token: 7, ttl_ms: MAX_MS }, Some(MAX_MS)),
+        done(Outcome::Renewed { token: 7, ttl_ms: MAX_MS }, None),
+        done(held, Some(MAX_MS)),
     ];
     for answer in answers {
         let mut session = session();
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_confirmation_good_for_ever_is_taken_without_an_overflow() {
+fn confirmer_handles_maximum_validity_without_overflow() {
     let version = |number| VersionInfo { number, rules: Some(BlockRules::default()) };
-    let word = Confirmation { good_ms: FOREVER, current: version(1), next: Some((version(2), FOREVER)) };
+    let word = Confirmation { good_ms: MAX_MS, current: version(1), next: Some((version(2), MAX_MS)) };
     let mut confirmer = Confirmer::new(Drift::default());
     let (number, _) = confirmer.due(10_000).expect("the first is due at once");
     confirmer.answered(number, &word, 10_005);
--- a/coordination/tests/group.rs
+++ b/coordination/tests/group.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_member_on_disk_compacts_its_log_and_comes_back_with_its_grants() {
+fn restarted_member_has_its_grants_after_compaction() {
     let folder = Folder::new("compact");
     let mut group = Group::of([member(1, 1, founders(1), disk(&folder.0, 1, &founders(1)), 0)]);
     let Outcome::Granted { token, .. } = group.acquire("registry", "p1") else {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_start_answers_no_request_of_this_one() {
+fn entry_of_an_earlier_run_answers_no_request_of_this_run() {
     let book = founders(3);
     let led_again = (2..40).filter(|start| {
         let stores: Vec<_> = (0..3).map(|_| MemStorage::new_with_conf_state(founding_conf(&book))).collect();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_member_is_added_by_snapshot_votes_once_it_has_caught_up_and_another_is_removed() {
+fn added_member_votes_once_caught_up_and_a_leader_can_be_removed() {
     let folder = Folder::new("change");
     let book = founders(3);
     let mut group = Group::of((1..=3).map(|id| member(id, 1, book.clone(), disk(&folder.0, id, &book), 0)));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_leader_that_was_cut_off_lists_nothing_and_no_client_expires_a_grant() {
+fn isolated_leader_answers_no_reads_and_clients_cannot_expire_grants() {
     let book = founders(3);
     let stores = (1..=3).map(|id| (id, MemStorage::new_with_conf_state(founding_conf(&book))));
     let mut group = Group::of(stores.map(|(id, store)| member(id, 1, book.clone(), store, 0)));
--- a/coordination/tests/model.rs
+++ b/coordination/tests/model.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn the_protocol_as_built_keeps_one_holder_and_growing_tokens() {
+fn protocol_keeps_one_holder_and_increasing_tokens() {
     let checker = check(Variant::AsBuilt);
     checker.assert_no_discovery("at most one client may act at any time");
     checker.assert_no_discovery("admitted tokens never decrease");
@@ -265,11 +265,11 @@
 }
 
 #[test]
-fn without_the_fence_a_late_action_of_the_old_holder_is_taken() {
+fn late_action_of_the_old_holder_is_admitted_without_the_fence() {
     check(Variant::NoFence).assert_any_discovery("admitted tokens never decrease");
 }
 
 #[test]
-fn without_a_full_ttl_at_election_two_clients_act_at_once() {
+fn two_clients_act_at_once_without_ttl_restart_at_election() {
     check(Variant::NoFullTtlAtElection).assert_any_discovery("at most one client may act at any time");
 }
--- a/coordination/tests/store_faults.rs
+++ b/coordination/tests/store_faults.rs
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn every_write_and_sync_that_fails_is_said_to_fail_and_nothing_acknowledged_is_lost() {
+fn failed_writes_and_syncs_are_reported_and_acknowledged_data_survives() {
     let (image, reference) = begun();
     let mut places = 0;
     for (error, count, torn) in [
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_cut_at_any_write_leaves_what_was_acknowledged() {
+fn acknowledged_data_survives_a_power_failure_at_any_call() {
     let (image, reference) = begun();
     let disk = Disk::of(image);
     let (store, _) = disk.open().unwrap();
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_failure_while_a_store_is_opened_loses_nothing() {
+fn failure_while_opening_a_store_loses_no_data() {
     let (image, reference) = begun();
     let disk = Disk::of(image);
     let (store, _) = disk.open().unwrap();
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_grant_that_was_answered_outlives_every_failure_of_the_disk() {
+fn answered_grant_survives_every_disk_failure() {
     let granted = |answers: &[(u64, Answer)]| -> Vec<u64> {
         let token = |(_, answer): &(u64, Answer)| match answer {
             Answer::Done { outcome: Outcome::Granted { token, .. }, .. } => Some(*token),
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn a_member_cut_off_power_at_any_write_has_the_groups_configuration_afterwards() {
+fn member_has_the_group_configuration_after_a_power_failure_at_any_call() {
     let mut cut_at = 0;
     for after in 1.. {
         let disks: BTreeMap<u64, Disk> = (1..=4).map(|id| (id, Disk::default())).collect();
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_store_that_was_cut_while_it_was_made_is_made_anew() {
+fn partially_created_store_is_created_again() {
     let folder = std::env::temp_dir().join(format!("notchdoor-half-made-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("member.redb");
--- a/coordination/tests/stored_forms.rs
+++ b/coordination/tests/stored_forms.rs
@@ -251,19 +251,19 @@
 }
 
 #[test]
-fn requests_of_clients_keep_their_bytes() {
+fn client_requests_keep_their_encoding() {
     let frames = (1..).zip(requests()).map(|(req, request)| Frame::Ask { req, request });
     same_frames("requests.frames", frames.collect());
 }
 
 #[test]
-fn answers_of_members_keep_their_bytes() {
+fn member_answers_keep_their_encoding() {
     let frames = (1..).zip(answers()).map(|(req, answer)| Frame::Answer { req, answer });
     same_frames("answers.frames", frames.collect());
 }
 
 #[test]
-fn messages_between_members_keep_their_bytes() {
+fn raft_messages_keep_their_encoding() {
     same_frames("peer.frames", peer_messages().into_iter().map(Frame::Peer).collect());
 }
 
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_log_is_replayed_to_what_it_held_and_the_same_run_stores_the_same_bytes() {
+fn stored_log_is_replayed_and_the_same_run_writes_the_same_bytes() {
     let folder = Folder::new("log");
     let run = logged(&folder.store());
     let expected = state(&run.member);
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn a_compacted_store_is_read_and_the_same_run_stores_the_same_bytes() {
+fn compacted_store_is_read_and_the_same_run_writes_the_same_bytes() {
     let folder = Folder::new("compacted");
     let mut run = logged(&folder.store());
     // A membership change compacts the log at once.
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn a_snapshot_of_the_tables_is_read_to_what_it_held_and_written_to_the_same_bytes() {
+fn snapshot_is_decoded_and_encoded_to_the_same_bytes() {
     let stored = fixture("snapshot.json");
     let state: ReplicatedState = serde_json::from_slice(&stored).unwrap();
     check_logged(&state);
@@ -484,7 +484,7 @@
 }
 
 #[test]
-fn a_members_settings_keep_their_keys() {
+fn member_settings_keep_their_keys() {
     let drift = Drift { rate_ppm: 5_000, margin_ms: 80 };
     let member = |id, host: [u16; 8]| MemberAddr {
         id,
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn a_proxys_settings_keep_their_keys() {
+fn proxy_settings_keep_their_keys() {
     let task = |name: &str, ttl_ms, port, path: &str, every_ms| Task {
         name: name.into(),
         ttl_ms,
@@ -518,7 +518,7 @@
         every_ms,
     };
     let expected = TasksConfig {
-        doors: vec![(1, loopback(7201)), (2, loopback(7202))],
+        members: vec![(1, loopback(7201)), (2, loopback(7202))],
         tasks: vec![task("warm", 2_000, 9000, "/warm", 250), task("probe", 5_000, 9001, "/", 1_000)],
         drift: Drift { rate_ppm: 5_000, margin_ms: 80 },
         guard: Some(BlockRules { classes: ["batch".into()].into(), ..BlockRules::default() }),
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn a_file_of_rules_keeps_its_keys() {
+fn rules_file_keeps_its_keys() {
     let expected = BlockRules {
         classes: ["batch".into(), "report".into()].into(),
         keys: ["k1".into()].into(),
--- a/lab/src/leases/world.rs
+++ b/lab/src/leases/world.rs
@@ -709,10 +709,14 @@
                 let local = client.clock.at(self.now);
                 match packet {
                     // The connection to another door than the one at hand is closed.
-                    Packet::Answer(req, answer) if from == Node::Member(id_of(client.session.door().0)) => {
+                    Packet::Answer(req, answer)
+                        if from == Node::Member(id_of(client.session.current_member().0)) =>
+                    {
                         client.session.answered(req, &answer, local);
                     }
-                    Packet::Gone(id) if id_of(client.session.door().0) == id => client.session.broken(local),
+                    Packet::Gone(id) if id_of(client.session.current_member().0) == id => {
+                        client.session.connection_failed(local);
+                    }
                     Packet::Refused { place, token } => client.session.fenced(place, token, local),
                     _ => {}
                 }
@@ -774,9 +778,9 @@
             }
         }
         if client.session.stalled(local) {
-            client.session.broken(local);
+            client.session.connection_failed(local);
         }
-        let (door, from) = client.session.door();
+        let (door, from) = client.session.current_member();
         if local >= from {
             let asks = client.session.due(local);
             packets.extend(asks.into_iter().map(|(req, r)| (Node::Member(id_of(door)), Packet::Ask(req, r))));
@@ -865,7 +869,7 @@
             None => format!("m{id} down"),
         };
         let client = |c: &Client| {
-            let (local, (door, from)) = (c.clock.at(self.now), c.session.door());
+            let (local, (door, from)) = (c.clock.at(self.now), c.session.current_member());
             let due = c.session.next_due() as i64 - local as i64;
             format!(
                 "{} at {} from {} ms on, due in {due} ms",
--- a/proxy/src/group/node.rs
+++ b/proxy/src/group/node.rs
@@ -252,7 +252,7 @@
             };
             if let Some(since) = stopping {
                 if member.leads() && since.elapsed() < HANDING_OVER && member.book().members().len() > 1 {
-                    member.hand_over();
+                    member.transfer_leadership();
                 } else {
                     info!("stopped");
                     return Ok(());
--- a/proxy/src/group/node/clients.rs
+++ b/proxy/src/group/node/clients.rs
@@ -12,7 +12,7 @@
 use notchdoor_coordination::protocol::{Answer, Request};
 use notchdoor_coordination::raft_node::RaftNode;
 use notchdoor_coordination::store::DiskStore;
-use notchdoor_coordination::wire::{Frame, MAX_ASK};
+use notchdoor_coordination::wire::{Frame, MAX_CLIENT_FRAME_BYTES};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     }
 
     pub(super) async fn take_asks(&self, client: u64, io: &Async<TcpStream>) {
-        let mut frames = Frames::new(io, MAX_ASK);
+        let mut frames = Frames::new(io, MAX_CLIENT_FRAME_BYTES);
         loop {
             match within(IDLE, frames.next()).await {
                 Ok(Some((Frame::Ask { req, request }, bytes))) => {
--- a/proxy/src/group/tasks.rs
+++ b/proxy/src/group/tasks.rs
@@ -12,7 +12,7 @@
 use notchdoor_coordination::protocol::Answer;
 use notchdoor_coordination::session::Session;
 use notchdoor_coordination::versioned_config::{BlockRules, Version};
-use notchdoor_coordination::wire::{encode, Frame, MAX_ASK};
+use notchdoor_coordination::wire::{encode, Frame, MAX_CLIENT_FRAME_BYTES};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::TcpStream;
@@ -50,7 +50,7 @@
             name.chars().filter(|c| c.is_ascii_alphanumeric() || "._-".contains(*c)).take(64).collect();
         let holder = format!("{plain}:{number:016x}");
         let wanted: Vec<_> = config.tasks.iter().map(|t| (t.name.clone(), t.ttl_ms)).collect();
-        let mut session = Session::new(config.doors.clone(), &holder, &wanted, config.drift, number);
+        let mut session = Session::new(config.members.clone(), &holder, &wanted, config.drift, number);
         if config.guard.is_some() {
             session = session.with_versions(config.drift);
         }
@@ -90,14 +90,14 @@
 
     /// Gives the grants back, so that others need not wait for their end. Acting ends at once.
     pub fn leave(&self) {
-        self.session.borrow_mut().leave(self.ticks.now());
+        self.session.borrow_mut().release_all(self.ticks.now());
         let _ = self.poke.0.try_send(());
     }
 
     /// Keeps the connection to the group.
     async fn keep(self: Rc<Self>) {
         loop {
-            let (door, at) = self.session.borrow().door();
+            let (door, at) = self.session.borrow().current_member();
             Timer::at(self.ticks.instant(at)).await;
             let ended = match within(CONNECT, Async::<TcpStream>::connect(door)).await {
                 Ok(io) => {
@@ -107,7 +107,7 @@
                 Err(error) => Err(error),
             };
             if let Err(error) = ended {
-                self.session.borrow_mut().broken(self.ticks.now());
+                self.session.borrow_mut().connection_failed(self.ticks.now());
                 if self.reached.replace(Some(false)) != Some(false) {
                     log::warn!(door:%; "leases: {door} not reached, serving goes on without: {error}");
                 }
@@ -118,7 +118,7 @@
 
     /// Asks one member until another is to be asked, or this one is of no use.
     async fn talk(&self, io: &Async<TcpStream>) -> io::Result<()> {
-        let (mut frames, mut writer) = (Frames::new(io, MAX_ASK), io);
+        let (mut frames, mut writer) = (Frames::new(io, MAX_CLIENT_FRAME_BYTES), io);
         loop {
             let now = self.ticks.now();
             if self.session.borrow().stalled(now) {
@@ -144,7 +144,7 @@
                 Some(Some((Frame::Answer { req, answer }, _))) => {
                     // A connection that comes up may be that of a process that does nothing.
                     if self.reached.replace(Some(true)) != Some(true) {
-                        let door = self.session.borrow().door().0;
+                        let door = self.session.borrow().current_member().0;
                         log::info!(door:%; "leases: the group is reached at {door}");
                     }
                     if matches!(answer, Answer::Confirmed(_)) {
--- a/proxy/src/lifecycle/serve.rs
+++ b/proxy/src/lifecycle/serve.rs
@@ -85,7 +85,7 @@
     let executors = Executors::default();
     let missing = match fleet.as_ref().and_then(|f| f.copies.clone().map(|c| (c, f))) {
         Some((copies, file)) => {
-            let (doors, run) = (file.doors.clone(), &executors.clients);
+            let (doors, run) = (file.members.clone(), &executors.clients);
             let copies = ReplicationRuntime::start(copies, doors, file.drift, &config.name, run)
                 .map_err(|problem| ServeError::Replication(problem.to_string()))?;
             Some(NegativeCache::new(copies, run))
