--- a/coordination/src/raft_node/apply.rs
+++ b/coordination/src/raft_node/apply.rs
@@ -1,4 +1,4 @@
-//! The state machine: committed entries applied to the tables, at a start and after each round.
+//! Applies committed entries to the replicated state, at startup and after each round.
 
 use super::{decoded, Event, Proposal, RaftNode, RoundOutput};
 use crate::lease::{task_of, Command};
@@ -10,9 +10,8 @@
 use raft::eraftpb::{ConfChange, ConfChangeV2, Entry, EntryType};
 
 impl<S: LogStorage> RaftNode<S> {
-    /// Applies what the store has committed already: the state after a restart, disk kept. The
-    /// state of the kept snapshot first, since compaction dropped the entries that made it. The
-    /// configuration is kept by itself, and raft-rs has it already.
+    /// Restores the state at startup: the stored snapshot first, then the committed entries after it. The
+    /// Raft configuration is stored separately and already loaded by raft-rs.
     pub(super) fn replay(&mut self, upto: u64) -> raft::Result<()> {
         let snapshot = self.node.store().snapshot(0, 0)?;
         if !snapshot.get_data().is_empty() {
@@ -24,9 +23,9 @@
                 self.node.store().entries(first, upto + 1, None, raft::GetEntriesContext::empty(false))?;
             for entry in entries {
                 match entry.get_entry_type() {
-                    EntryType::EntryNormal => self.apply_said(&entry),
-                    EntryType::EntryConfChange => self.book_change::<ConfChange>(&entry),
-                    EntryType::EntryConfChangeV2 => self.book_change::<ConfChangeV2>(&entry),
+                    EntryType::EntryNormal => self.apply_normal(&entry),
+                    EntryType::EntryConfChange => self.update_membership::<ConfChange>(&entry),
+                    EntryType::EntryConfChangeV2 => self.update_membership::<ConfChangeV2>(&entry),
                 }
             }
         }
@@ -37,7 +36,7 @@
     pub(super) fn apply(&mut self, entries: Vec<Entry>) -> raft::Result<()> {
         for entry in entries {
             match entry.get_entry_type() {
-                EntryType::EntryNormal => self.apply_said(&entry),
+                EntryType::EntryNormal => self.apply_normal(&entry),
                 EntryType::EntryConfChange => self.apply_change::<ConfChange>(&entry)?,
                 EntryType::EntryConfChangeV2 => self.apply_change::<ConfChangeV2>(&entry)?,
             }
@@ -45,15 +44,15 @@
         Ok(())
     }
 
-    pub(super) fn apply_said(&mut self, entry: &Entry) {
-        // A new leader's first entry is empty.
+    pub(super) fn apply_normal(&mut self, entry: &Entry) {
+        // The first entry of a new leader is empty.
         let Ok(proposal) = serde_json::from_slice::<Proposal>(entry.get_data()) else { return };
         let answer = match proposal.entry {
             LogCommand::Lease(command) => self.apply_lease(entry.index, command),
             LogCommand::Enlist { id, number } => Answer::Enlisted(self.state.book.enlist(id, number)),
             LogCommand::Copies(change) => {
                 if let ShardMapChange::Down { id, start } = change {
-                    self.downing.remove(&(id, start));
+                    self.proposed_down.remove(&(id, start));
                 }
                 if let ShardMapChange::Join { at, .. } = &change {
                     self.confirmed.insert(at.id, self.now);
@@ -89,17 +88,17 @@
         let task = task_of(&command);
         self.expiries.follow(task, &outcome, &self.state.leases, self.now);
         if !self.state.leases.grants().contains_key(task) {
-            self.crowds.remove(task);
+            self.retry_pacers.remove(task);
         }
         let left_ms = self.expiries.left(task, self.now);
         if let Command::Expire { task, token, as_of } = &command {
-            self.expiring.remove(&(task.clone(), *token, *as_of));
+            self.proposed_expiries.remove(&(task.clone(), *token, *as_of));
         }
         self.out.events.push(Event::Applied { index, command, outcome: outcome.clone() });
         Answer::Done { outcome, left_ms }
     }
 
-    /// The applied state as a snapshot's bytes, for compaction and for members that fall behind.
+    /// Returns the replicated state serialized for a snapshot.
     pub fn snapshot_data(&self) -> Vec<u8> {
         serde_json::to_vec(&self.state).unwrap_or_default()
     }
--- a/coordination/src/retry_pacing.rs
+++ b/coordination/src/retry_pacing.rs
@@ -1,40 +1,42 @@
-//! How often those who wait for a held task ask for it. With few, each asks each third of the TTL.
-//! With hundreds that would be hundreds of requests a second for one task, and it is enough that one
-//! of them asks soon after it is free: so the more there are, the later each comes back.
+//! Retry pacing for clients that wait for a held task.
+//!
+//! Few clients retry every third of the TTL. The more clients wait, the longer the returned delay, so that
+//! the request rate per task stays near a target.
 
 use crate::lease::Millis;
 
-/// Requests a second for one task that a leader works towards.
-const WANTED_PER_S: u64 = 50;
-/// How long requests are counted before the wait is set anew.
-const SPAN: Millis = 1_000;
-/// The wait at the most, in TTLs: somebody comes by then even if all others are gone by now.
-const MOST_TTLS: u64 = 2;
+/// Target rate of acquire requests for one held task, per second.
+const TARGET_REQUESTS_PER_S: u64 = 50;
+/// Period over which requests are counted before the delay is adjusted.
+const COUNT_PERIOD_MS: Millis = 1_000;
+/// Maximum delay, as a multiple of the TTL.
+const MAX_DELAY_TTLS: u64 = 2;
 
-/// Those who wait for one task, by how often they ask.
+/// Request rate and retry delay for one held task.
 #[derive(Clone, Debug, Default)]
 pub struct RetryPacer {
     since: Millis,
-    asks: u64,
+    requests: u64,
     wait: Millis,
 }
 
 impl RetryPacer {
-    /// Counts one who asked at `now`, and says after how long to ask again.
-    pub fn again(&mut self, ttl_ms: Millis, left_ms: Millis, now: Millis) -> Millis {
-        let (least, most) = (ttl_ms / 3, MOST_TTLS * ttl_ms);
+    /// Counts a request received at `now` and returns the delay after which the client retries, in
+    /// milliseconds.
+    pub fn next_delay(&mut self, ttl_ms: Millis, left_ms: Millis, now: Millis) -> Millis {
+        let (least, most) = (ttl_ms / 3, MAX_DELAY_TTLS * ttl_ms);
         self.wait = self.wait.clamp(least, most);
-        self.asks += 1;
+        self.requests += 1;
         let over = now.saturating_sub(self.since);
-        if over >= SPAN {
-            // Twice as many as wanted: twice the wait. Moved half of the way, so that it does not swing.
-            let rate = self.asks * 1_000 / over;
-            let right = (self.wait * rate / WANTED_PER_S).clamp(least, most);
-            self.wait = (self.wait + right) / 2;
-            (self.since, self.asks) = (now, 0);
+        if over >= COUNT_PERIOD_MS {
+            // The delay is proportional to the rate, and moves half of the way to damp oscillation.
+            let rate = self.requests * 1_000 / over;
+            let target = (self.wait * rate / TARGET_REQUESTS_PER_S).clamp(least, most);
+            self.wait = (self.wait + target) / 2;
+            (self.since, self.requests) = (now, 0);
         }
         if self.wait == least {
-            // Few: whoever asks right when it runs out costs nothing.
+            // With few clients, all of them may retry as soon as the grant is due to expire.
             return least.min(left_ms);
         }
         self.wait
