--- a/proxy/src/lifecycle/signals.rs
+++ b/proxy/src/lifecycle/signals.rs
@@ -148,7 +148,7 @@
 
 async fn stop(runtime: &Rc<Runtime>) {
     let begun = Instant::now();
-    let limit = begun + answering(runtime.network.longest_deadline);
+    let limit = begun + answering(runtime.network.max_deadline);
     runtime.begin_stop();
     // With a successor on the same address, new connections go there once the listener is closed.
     if !runtime.has_successor() {
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -120,7 +120,7 @@
 /// Takes a backend out or puts it back: kept for a successor first, then carried out here, then heeded by the other
 /// process if there is one; then the yes.
 async fn change(runtime: &Rc<Runtime>, backend: &str, out: bool) -> Reply {
-    let (what, cold) = (if out { "out" } else { "back" }, runtime.network.cold);
+    let (what, cold) = (if out { "out" } else { "back" }, runtime.network.warmup);
     if !runtime.proxy.borrow().endpoints.knows(backend) {
         log::warn!("operators: {backend:.256} {what}: no cache backend has this name");
         return Reply::line(404, "no cache worker has this name");
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -173,7 +173,7 @@
         Some(streamed) => {
             streamed.until_whole().await;
             let wait = give_up_at.saturating_sub(begun);
-            let wait = wait.min(attempt.command.wait).min(runtime.network.longest_wait());
+            let wait = wait.min(attempt.command.wait).min(runtime.network.max_request_time());
             Timer::after(Duration::from_micros(wait)).await;
         }
         None => {
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -169,7 +169,7 @@
 
 fn take(runtime: &Rc<Runtime>, client: &Client, place: ReplySlot, call: BackendCommand, read_at: Micros) {
     // The client's time runs from its last byte: the attempt sees to that where the value passes through.
-    let wait = call.wait.min(runtime.network.longest_wait());
+    let wait = call.wait.min(runtime.network.max_request_time());
     let wait = wait - REPLY_MARGIN.min(wait / REPLY_MARGIN_PART);
     let wait = if call.streamed.is_some() { wait.saturating_add(STREAMED_VALUE_TIMEOUT) } else { wait };
     let taken = runtime.drive(|proxy, now| {
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -9,8 +9,8 @@
 use std::ops::RangeInclusive;
 
 /// A class's share of the origin's window, unless a policy says otherwise.
-const WHOLE_WINDOW: f64 = 1.0;
-const TIMES: RangeInclusive<f64> = 0.0..=MAX_MILLIS;
+const DEFAULT_WINDOW_SHARE: f64 = 1.0;
+const TIME_RANGE_MS: RangeInclusive<f64> = 0.0..=MAX_MILLIS;
 
 /// A figure of the settings that cannot be meant.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -26,7 +26,7 @@
     pub max: f64,
 }
 
-fn in_range(field: impl Into<String>, value: f64, range: RangeInclusive<f64>) -> Result<(), OutOfRange> {
+fn check_range(field: impl Into<String>, value: f64, range: RangeInclusive<f64>) -> Result<(), OutOfRange> {
     if range.contains(&value) {
         return Ok(());
     }
@@ -38,28 +38,30 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct DeploymentSettings {
-    balancers: u32,
-    grades: Vec<Grade>,
+    #[serde(rename = "balancers")]
+    proxies: u32,
+    #[serde(rename = "grades")]
+    classes: Vec<ClassSettings>,
     #[serde(default)]
-    tenants: Vec<TenantLine>,
-    #[serde(default)]
-    dcs: Vec<String>,
-    #[serde(default)]
-    skus: Vec<String>,
-    discovery: How,
+    tenants: Vec<TenantSettings>,
+    #[serde(default, rename = "dcs")]
+    zones: Vec<String>,
+    #[serde(default, rename = "skus")]
+    kinds: Vec<String>,
+    discovery: DiscoveryMode,
     #[serde(default)]
     family_info: FamilyInfo,
     #[serde(default)]
     weight_kind: String,
-    #[serde(default)]
-    over_share_worth: f64,
-    limits: Limits,
+    #[serde(default, rename = "overShareWorth")]
+    over_quota_weight: f64,
+    limits: LimitSettings,
     obligations: Obligations,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum How {
+enum DiscoveryMode {
     Pushed,
     OnRequest,
 }
@@ -72,7 +74,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum EffectName {
+enum EffectKind {
     Idempotent,
     Deduplicated,
     AtMostOnce,
@@ -89,45 +91,47 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Grade {
+struct ClassSettings {
     name: String,
-    aim: Millis,
+    #[serde(rename = "aim")]
+    latency_objective: Millis,
     #[serde(default)]
     deadline: Millis,
-    points: f64,
-    #[serde(default)]
-    late_share: f64,
-    effect: EffectName,
+    #[serde(rename = "points")]
+    priority_weight: f64,
+    #[serde(default, rename = "lateShare")]
+    late_value_share: f64,
+    effect: EffectKind,
     #[serde(default)]
     dedup_scope: DedupScope,
     #[serde(default)]
     dedup_window: Millis,
 }
 
-impl Grade {
+impl ClassSettings {
     fn validate(&self, index: usize) -> Result<(), OutOfRange> {
         let field = |name: &str| format!("grades[{index}].{name}");
-        in_range(field("aim"), self.aim, TIMES)?;
-        in_range(field("deadline"), self.deadline, TIMES)?;
-        in_range(field("dedupWindow"), self.dedup_window, TIMES)?;
-        in_range(field("points"), self.points, 0.0..=1e9)
+        check_range(field("aim"), self.latency_objective, TIME_RANGE_MS)?;
+        check_range(field("deadline"), self.deadline, TIME_RANGE_MS)?;
+        check_range(field("dedupWindow"), self.dedup_window, TIME_RANGE_MS)?;
+        check_range(field("points"), self.priority_weight, 0.0..=1e9)
     }
 
     fn class(&self) -> Class {
         Class {
-            latency_objective: micros(self.aim),
-            priority_weight: self.points,
-            late_value_share: self.late_share,
-            window_share: WHOLE_WINDOW,
+            latency_objective: micros(self.latency_objective),
+            priority_weight: self.priority_weight,
+            late_value_share: self.late_value_share,
+            window_share: DEFAULT_WINDOW_SHARE,
             effect: self.effect(),
         }
     }
 
     fn effect(&self) -> Effect {
         match self.effect {
-            EffectName::Idempotent => Effect::Idempotent,
-            EffectName::AtMostOnce => Effect::AtMostOnce,
-            EffectName::Deduplicated => Effect::Deduplicated {
+            EffectKind::Idempotent => Effect::Idempotent,
+            EffectKind::AtMostOnce => Effect::AtMostOnce,
+            EffectKind::Deduplicated => Effect::Deduplicated {
                 window: micros(self.dedup_window),
                 scope: match self.dedup_scope {
                     DedupScope::All => Scope::All,
@@ -140,30 +144,31 @@
 
     /// How long a client of this class waits; its objective where no deadline is given.
     fn client_deadline(&self) -> Micros {
-        micros(if self.deadline > 0.0 { self.deadline } else { self.aim })
+        micros(if self.deadline > 0.0 { self.deadline } else { self.latency_objective })
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct TenantLine {
+struct TenantSettings {
     name: String,
     quota_per_s: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Limits {
+struct LimitSettings {
     max_attempts: u32,
-    #[serde(default)]
-    second_copies: bool,
+    #[serde(default, rename = "secondCopies")]
+    hedging: bool,
     #[serde(default)]
     may_cancel: bool,
     #[serde(default)]
     retry_after: bool,
     #[serde(default)]
     max_retry_after: Millis,
-    most_held: u32,
+    #[serde(rename = "mostHeld")]
+    max_in_flight: u32,
     #[serde(default = "default_connect_timeout")]
     connect_timeout: Millis,
     #[serde(default = "default_idle_close")]
@@ -181,12 +186,16 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Obligations {
-    #[serde(default)]
-    ask_every: Millis,
-    cold: Millis,
-    cold_from: f64,
-    fall_multiple: f64,
-    tip_after: Millis,
+    #[serde(default, rename = "askEvery")]
+    poll_interval: Millis,
+    #[serde(rename = "cold")]
+    warmup: Millis,
+    #[serde(rename = "coldFrom")]
+    initial_capacity_share: f64,
+    #[serde(rename = "fallMultiple")]
+    overload_multiple: f64,
+    #[serde(rename = "tipAfter")]
+    overload_window: Millis,
 }
 
 impl DeploymentSettings {
@@ -194,43 +203,45 @@
     /// of zero. The error is the first that can't.
     pub fn validate(&self) -> Result<(), OutOfRange> {
         let (limits, obligations) = (&self.limits, &self.obligations);
-        in_range("balancers", f64::from(self.balancers), 1.0..=1e6)?;
-        in_range("limits.maxAttempts", f64::from(limits.max_attempts), 1.0..=1e3)?;
-        in_range("limits.mostHeld", f64::from(limits.most_held), 1.0..=1e7)?;
-        in_range("limits.maxRetryAfter", limits.max_retry_after, TIMES)?;
-        in_range("limits.connectTimeout", limits.connect_timeout, TIMES)?;
-        in_range("limits.idleClose", limits.idle_close, TIMES)?;
-        in_range("obligations.askEvery", obligations.ask_every, TIMES)?;
-        in_range("obligations.cold", obligations.cold, TIMES)?;
-        in_range("obligations.coldFrom", obligations.cold_from, 0.0..=1.0)?;
-        in_range("obligations.fallMultiple", obligations.fall_multiple, 0.0..=1e6)?;
-        in_range("obligations.tipAfter", obligations.tip_after, TIMES)?;
-        self.grades.iter().enumerate().try_for_each(|(index, grade)| grade.validate(index))
+        check_range("balancers", f64::from(self.proxies), 1.0..=1e6)?;
+        check_range("limits.maxAttempts", f64::from(limits.max_attempts), 1.0..=1e3)?;
+        check_range("limits.mostHeld", f64::from(limits.max_in_flight), 1.0..=1e7)?;
+        check_range("limits.maxRetryAfter", limits.max_retry_after, TIME_RANGE_MS)?;
+        check_range("limits.connectTimeout", limits.connect_timeout, TIME_RANGE_MS)?;
+        check_range("limits.idleClose", limits.idle_close, TIME_RANGE_MS)?;
+        check_range("obligations.askEvery", obligations.poll_interval, TIME_RANGE_MS)?;
+        check_range("obligations.cold", obligations.warmup, TIME_RANGE_MS)?;
+        check_range("obligations.coldFrom", obligations.initial_capacity_share, 0.0..=1.0)?;
+        check_range("obligations.fallMultiple", obligations.overload_multiple, 0.0..=1e6)?;
+        check_range("obligations.tipAfter", obligations.overload_window, TIME_RANGE_MS)?;
+        self.classes.iter().enumerate().try_for_each(|(index, grade)| grade.validate(index))
     }
 
     /// The router's settings.
     pub fn settings(&self) -> Settings {
         let (limits, obligations) = (&self.limits, &self.obligations);
         Settings {
-            proxies: self.balancers,
-            classes: self.grades.iter().map(Grade::class).collect(),
+            proxies: self.proxies,
+            classes: self.classes.iter().map(ClassSettings::class).collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
-            over_quota_weight: self.over_share_worth,
+            over_quota_weight: self.over_quota_weight,
             origin_kind: self.family_info.origin_kind.and_then(|k| u32::try_from(k).ok()),
             discovery: match self.discovery {
-                How::Pushed => Discovery::Pushed,
-                How::OnRequest => Discovery::OnRequest { poll_interval: micros(obligations.ask_every) },
+                DiscoveryMode::Pushed => Discovery::Pushed,
+                DiscoveryMode::OnRequest => {
+                    Discovery::OnRequest { poll_interval: micros(obligations.poll_interval) }
+                }
             },
             sizes_are_live: self.weight_kind == "live",
             max_attempts: limits.max_attempts,
-            hedging: limits.second_copies,
+            hedging: limits.hedging,
             may_cancel: limits.may_cancel,
             max_retry_after: if limits.retry_after { micros(limits.max_retry_after) } else { 0 },
-            max_in_flight: limits.most_held,
-            initial_capacity_share: obligations.cold_from,
-            warmup: micros(obligations.cold),
-            overload_multiple: obligations.fall_multiple,
-            overload_window: micros(obligations.tip_after),
+            max_in_flight: limits.max_in_flight,
+            initial_capacity_share: obligations.initial_capacity_share,
+            warmup: micros(obligations.warmup),
+            overload_multiple: obligations.overload_multiple,
+            overload_window: micros(obligations.overload_window),
         }
     }
 
@@ -239,8 +250,8 @@
         NetworkSettings {
             connect_timeout: micros(self.limits.connect_timeout),
             idle_close: micros(self.limits.idle_close),
-            cold: micros(self.obligations.cold),
-            longest_deadline: self.grades.iter().map(|g| micros(g.deadline)).max().unwrap_or(0),
+            warmup: micros(self.obligations.warmup),
+            max_deadline: self.classes.iter().map(|g| micros(g.deadline)).max().unwrap_or(0),
         }
     }
 
@@ -250,7 +261,7 @@
         PolicyContext {
             settings: self.settings(),
             classes: names.classes,
-            deadlines: self.grades.iter().map(Grade::client_deadline).collect(),
+            deadlines: self.classes.iter().map(ClassSettings::client_deadline).collect(),
             tenants: names.tenants,
         }
     }
@@ -258,10 +269,10 @@
     /// The names, by the numbers that the router has for them.
     pub fn names(&self) -> DeploymentNames {
         DeploymentNames {
-            classes: self.grades.iter().map(|g| g.name.clone()).collect(),
+            classes: self.classes.iter().map(|g| g.name.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
-            zones: self.dcs.clone(),
-            kinds: self.skus.clone(),
+            zones: self.zones.clone(),
+            kinds: self.kinds.clone(),
         }
     }
 }
--- a/settings/src/network.rs
+++ b/settings/src/network.rs
@@ -10,21 +10,21 @@
     /// Workers close a connection that has stood idle for so long.
     pub idle_close: Micros,
     /// The longest deadline of any class.
-    pub longest_deadline: Micros,
+    pub max_deadline: Micros,
     /// The time within which a started server is warm.
-    pub cold: Micros,
+    pub warmup: Micros,
 }
 
 impl NetworkSettings {
     /// The longest that a request is held, whatever its client says: no client waits longer over all its attempts. A
     /// client that names an hour would have a silent worker hold its requests for as long.
-    pub fn longest_wait(&self) -> Micros {
-        if self.longest_deadline == 0 {
+    pub fn max_request_time(&self) -> Micros {
+        if self.max_deadline == 0 {
             return Micros::MAX;
         }
-        self.longest_deadline.saturating_mul(MAX_DEADLINE_FACTOR)
+        self.max_deadline.saturating_mul(DEADLINE_TOLERANCE_FACTOR)
     }
 }
 
 /// Clients' clocks and their own settings may differ from the deployment's by so much.
-const MAX_DEADLINE_FACTOR: u64 = 2;
+const DEADLINE_TOLERANCE_FACTOR: u64 = 2;
--- a/settings/tests/decoding.rs
+++ b/settings/tests/decoding.rs
@@ -4,7 +4,7 @@
 use notchdoor_settings::{index_of, micros, DeploymentNames, DeploymentSettings, OutOfRange};
 
 /// Every field that is read, and some that are not.
-const EVERY_FIELD: &str = r#"{"balancers":4,"future":{"x":1},"grades":[
+const SETTINGS_WITH_ALL_FIELDS: &str = r#"{"balancers":4,"future":{"x":1},"grades":[
     {"name":"read","aim":500.0,"deadline":2000.0,"points":1.0,"lateShare":0.25,"effect":"idempotent"},
     {"name":"fix","aim":0.25,"points":2.0,"effect":"deduplicated","dedupScope":"zone","dedupWindow":800.0},
     {"name":"cell","aim":1.0,"deadline":3.0,"points":2.5,"effect":"deduplicated","dedupScope":"cell","dedupWindow":9.0},
@@ -16,22 +16,16 @@
         "mostHeld":7,"connectTimeout":150.0,"idleClose":20000.0},
     "obligations":{"askEvery":10000.0,"cold":8100.0,"coldFrom":0.3,"fallMultiple":4.0,"tipAfter":2000.0}}"#;
 
-fn decoded() -> DeploymentSettings {
-    serde_json::from_str(EVERY_FIELD).unwrap()
+fn decode_all_fields() -> DeploymentSettings {
+    serde_json::from_str(SETTINGS_WITH_ALL_FIELDS).unwrap()
 }
 
-fn class(aim: u64, worth: f64, late_share: f64, effect: Effect) -> Class {
-    Class {
-        latency_objective: aim,
-        priority_weight: worth,
-        late_value_share: late_share,
-        window_share: 1.0,
-        effect,
-    }
+fn class(latency_objective: u64, priority_weight: f64, late_value_share: f64, effect: Effect) -> Class {
+    Class { latency_objective, priority_weight, late_value_share, window_share: 1.0, effect }
 }
 
 #[test]
-fn every_field_of_the_settings_object_is_decoded() {
+fn settings_with_all_fields_decode_to_expected_values() {
     let deduplicated = |scope, window| Effect::Deduplicated { scope, window };
     let expected = Settings {
         proxies: 4,
@@ -57,18 +51,22 @@
         overload_multiple: 4.0,
         overload_window: 2_000_000,
     };
-    let boot = decoded();
-    assert!(boot.validate().is_ok());
+    let deployment = decode_all_fields();
+    assert!(deployment.validate().is_ok());
     // The library's settings have no equality of their own.
-    assert_eq!(format!("{:?}", boot.settings()), format!("{expected:?}"));
-    let network = boot.network();
+    assert_eq!(format!("{:?}", deployment.settings()), format!("{expected:?}"));
+    let network = deployment.network();
     assert_eq!((network.connect_timeout, network.idle_close), (150_000, 20_000_000));
-    assert_eq!((network.longest_deadline, network.cold), (2_000_000, 8_100_000));
-    let facts = boot.policy_context();
-    assert_eq!(facts.deadlines, [2_000_000, 250, 3_000, 1_000, 600_000], "the objective where none is given");
-    assert_eq!(facts.classes, ["read", "fix", "cell", "all", "close"]);
-    assert_eq!(facts.tenants, ["t", "u"]);
-    let names = boot.names();
+    assert_eq!((network.max_deadline, network.warmup), (2_000_000, 8_100_000));
+    let context = deployment.policy_context();
+    assert_eq!(
+        context.deadlines,
+        [2_000_000, 250, 3_000, 1_000, 600_000],
+        "the objective where none is given"
+    );
+    assert_eq!(context.classes, ["read", "fix", "cell", "all", "close"]);
+    assert_eq!(context.tenants, ["t", "u"]);
+    let names = deployment.names();
     assert_eq!(
         (names.zones, names.kinds),
         (vec!["a".into(), "b".into()], vec!["cache".into(), "origin".into()])
@@ -77,7 +75,7 @@
 
 /// Two deployments on one machine are kept apart by this number: it has to differ wherever any list does.
 #[test]
-fn names_moved_between_lists_are_another_deployment() {
+fn fingerprint_differs_when_names_move_between_lists() {
     let lists = |lists: [&[&str]; 4]| {
         let [classes, tenants, zones, kinds] = lists.map(|l| l.iter().map(|n| n.to_string()).collect());
         DeploymentNames { classes, tenants, zones, kinds }
@@ -100,7 +98,7 @@
     }
 }
 
-const SOME_FIELDS: &str = r#"{"balancers":4,"future":{"x":1},"grades":[
+const SETTINGS_WITH_DEFAULTS: &str = r#"{"balancers":4,"future":{"x":1},"grades":[
     {"name":"read","aim":500.0,"deadline":2000.0,"effect":"idempotent","points":1.0},
     {"name":"fix","aim":0.25,"effect":"deduplicated","dedupScope":"zone","dedupWindow":800.0,"points":2.0}],
     "tenants":[{"name":"t","quotaPerS":9.0}],"dcs":["a","b"],"skus":["cache","origin"],
@@ -109,8 +107,8 @@
     "obligations":{"askEvery":10000.0,"cold":8100.0,"coldFrom":0.3,"fallMultiple":4.0,"tipAfter":2000.0}}"#;
 
 #[test]
-fn units_names_and_defaults_come_out_right() {
-    let deployment: DeploymentSettings = serde_json::from_str(SOME_FIELDS).unwrap();
+fn omitted_fields_get_defaults_and_times_become_microseconds() {
+    let deployment: DeploymentSettings = serde_json::from_str(SETTINGS_WITH_DEFAULTS).unwrap();
     let settings = deployment.settings();
     assert_eq!(settings.classes[1].latency_objective, 250);
     let effect = Effect::Deduplicated { scope: Scope::Zone, window: 800_000 };
@@ -120,21 +118,21 @@
     assert_eq!(settings.max_retry_after, 0, "no retry-after where clients get none");
     let network = deployment.network();
     assert_eq!((network.connect_timeout, network.idle_close), (150_000, 30_000_000));
-    assert_eq!(network.longest_deadline, 2_000_000);
+    assert_eq!(network.max_deadline, 2_000_000);
     assert_eq!(index_of(&deployment.names().zones, "b"), Some(1));
     assert_eq!(index_of(&deployment.names().zones, "c"), None);
 }
 
 #[test]
-fn a_missing_field_is_named() {
-    let text = SOME_FIELDS.replace("\"mostHeld\":7,", "");
+fn error_for_missing_required_field_names_it() {
+    let text = SETTINGS_WITH_DEFAULTS.replace("\"mostHeld\":7,", "");
     let error = serde_json::from_str::<DeploymentSettings>(&text).err().map(|e| e.to_string());
     assert!(error.is_some_and(|e| e.contains("mostHeld")));
 }
 
 #[test]
-fn a_figure_that_cannot_be_meant_is_named_with_its_range() {
-    let text = EVERY_FIELD.replace("\"coldFrom\":0.3", "\"coldFrom\":30");
+fn out_of_range_value_is_reported_with_field_and_range() {
+    let text = SETTINGS_WITH_ALL_FIELDS.replace("\"coldFrom\":0.3", "\"coldFrom\":30");
     let error = serde_json::from_str::<DeploymentSettings>(&text).unwrap().validate().unwrap_err();
     let expected = OutOfRange { field: "obligations.coldFrom".to_owned(), value: 30.0, min: 0.0, max: 1.0 };
     assert_eq!(error, expected);
@@ -142,6 +140,6 @@
 }
 
 #[test]
-fn odd_times_become_zero() {
+fn negative_and_nan_times_convert_to_zero() {
     assert_eq!((micros(-1.0), micros(f64::NAN), micros(1.5)), (0, 0, 1_500));
 }
