--- a/cli/src/lab/list.rs
+++ b/cli/src/lab/list.rs
@@ -15,7 +15,7 @@
         print_json(&serde_json::json!({
             "scenarios": BUILT_IN.iter().map(|(n, t)| (*n, about(t))).collect::<BTreeMap<_, _>>(),
             "policies": Kind::all().iter().map(|k| k.name()).collect::<Vec<_>>(),
-            "faults": faults::Kind::ALL.iter().map(|k| (k.name(), k.meaning()))
+            "faults": faults::FaultKind::ALL.iter().map(|k| (k.name(), k.description()))
                 .collect::<BTreeMap<_, _>>(),
         }));
         return;
@@ -29,9 +29,9 @@
         println!("  {}", kind.name());
     }
     println!("\nKinds of fault, with their figures and usual values:");
-    for kind in faults::Kind::ALL {
+    for kind in faults::FaultKind::ALL {
         let figures: Vec<String> =
-            kind.figures().iter().map(|f| format!("{}={}", f.field.name(), f.usual)).collect();
-        println!("  {:16} {}\n  {:16} {}", kind.name(), kind.meaning(), "", figures.join(" "));
+            kind.parameters().iter().map(|f| format!("{}={}", f.field.name(), f.default)).collect();
+        println!("  {:16} {}\n  {:16} {}", kind.name(), kind.description(), "", figures.join(" "));
     }
 }
--- a/cli/tests/stand.rs
+++ b/cli/tests/stand.rs
@@ -1,7 +1,7 @@
 //! Real proxies between the load generator and the lab's machines on sockets.
 
 use notchdoor_lab::scenario;
-use notchdoor_model::faults::{Fault, Kind};
+use notchdoor_model::faults::{Fault, FaultKind};
 use notchdoor_testbed::play::{play, Proxies};
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
         "origin.headroom=8",
     ];
     let mut spec = scenario::load("calm", &set.map(str::to_owned)).unwrap().spec;
-    spec.faults = vec![Fault::new(Kind::OriginStop, 2.0, 0.5)];
+    spec.faults = vec![Fault::new(FaultKind::OriginStop, 2.0, 0.5)];
     let folder = std::env::temp_dir().join(format!("notchdoor-stand-{}", std::process::id()));
     let proxies = Proxies {
         program: PathBuf::from(env!("CARGO_BIN_EXE_notchdoor")),
--- a/lab/src/baselines.rs
+++ b/lab/src/baselines.rs
@@ -8,7 +8,7 @@
     Action, Decide, Effect, Event, Key, Micros, Outcome, Request, RequestId, ServerId, ServerState, Settings,
 };
 use notchdoor_limits::layer::{LimitsLayer, LimitsMetrics};
-use notchdoor_model::memory::unit;
+use notchdoor_model::cache::unit_hash;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -92,7 +92,7 @@
     }
 
     fn rendezvous(&self, key: Key) -> Option<(ServerId, Option<ServerId>)> {
-        let rank = |s: ServerId| unit(key ^ u64::from(s).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let rank = |s: ServerId| unit_hash(key ^ u64::from(s).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut best: Option<(f64, ServerId)> = None;
         let mut second: Option<(f64, ServerId)> = None;
         for &server in &self.workers {
@@ -137,7 +137,7 @@
         let mut home: Option<(f64, ServerId)> = None;
         let mut holder: Option<(f64, ServerId)> = None;
         for &server in &self.workers {
-            let u = unit(key ^ u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15)).max(1e-12);
+            let u = unit_hash(key ^ u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15)).max(1e-12);
             let rank = oracle.capacity(server) / -u.ln();
             if home.is_none_or(|(best, _)| rank > best) {
                 home = Some((rank, server));
--- a/lab/src/day/clients.rs
+++ b/lab/src/day/clients.rs
@@ -3,7 +3,7 @@
 use super::world::Next;
 use super::{Day, Order, Try};
 use notchdoor::{Event, Request};
-use notchdoor_model::clients::Heard;
+use notchdoor_model::clients::AttemptResult;
 use notchdoor_model::time::{ms, Time};
 use rand::RngExt;
 
@@ -16,14 +16,14 @@
 
     /// The next request of the day.
     pub(super) fn want(&mut self) {
-        let want = self.demand.draw(self.now);
+        let want = self.demand.generate(self.now);
         let claim = self.record.wanted(self.spec, &want);
         let id = self.id();
         let order = Order { want, claim, tries: 0, risked: None, ran: 0, ran_at: 0, settled: false, refs: 1 };
         self.orders.insert(id, order);
         self.send_try(id);
         self.release(id);
-        let next = self.demand.next(self.now);
+        let next = self.demand.next_arrival(self.now);
         if next < self.end {
             self.agenda.put(next, Next::Want);
         }
@@ -40,7 +40,7 @@
         let o = self.orders.get_mut(&order).expect("looked up above");
         o.tries += 1;
         o.refs += 1;
-        let (due, leaves) = self.client_behaviour.patience(&o.want, self.now, &mut self.clients);
+        let (due, leaves) = self.client_behaviour.attempt_timeout(&o.want, self.now, &mut self.clients);
         let id = self.id();
         let sent = self.now;
         let up = proxy.filter(|&p| self.proxies[p as usize].up);
@@ -75,12 +75,12 @@
                     self.agenda.put(leaves, Next::Leave(id));
                 }
             }
-            None => self.answer_client(id, Heard::Unreachable, 2 * delay),
+            None => self.answer_client(id, AttemptResult::Unreachable, 2 * delay),
         }
     }
 
     /// A client will hear how its try ended.
-    pub(super) fn answer_client(&mut self, id: u64, heard: Heard, after: Time) {
+    pub(super) fn answer_client(&mut self, id: u64, heard: AttemptResult, after: Time) {
         if let Some(t) = self.tries.get_mut(&id) {
             t.heard = Some(heard);
             self.agenda.put(self.now + after, Next::Heard(id));
@@ -88,7 +88,7 @@
     }
 
     /// Likewise, after the usual way back.
-    pub(super) fn answer(&mut self, id: u64, heard: Heard) {
+    pub(super) fn answer(&mut self, id: u64, heard: AttemptResult) {
         let delay = self.client_delay();
         self.answer_client(id, heard, delay);
     }
@@ -98,7 +98,7 @@
         let Some(t) = self.tries.get_mut(&id) else { return };
         let (proxy, process, order, due) = (t.proxy, t.process, t.order, t.due);
         if !self.runs(proxy, process) {
-            return self.answer(id, Heard::Unreachable);
+            return self.answer(id, AttemptResult::Unreachable);
         }
         let t = self.tries.get_mut(&id).expect("looked up above");
         t.open = true;
@@ -110,7 +110,7 @@
         if !want.write {
             let share = self.world.cold_share(self.now, self.spec);
             if share > 0.0 {
-                self.world.origin.expect(self.now, share * self.world.fetch_work);
+                self.world.origin.record_expected(self.now, share * self.world.fetch_work);
             }
         }
         let slack = ms(self.spec.rules.answer_slack_ms).max(self.tick);
@@ -148,7 +148,7 @@
         let Some(t) = self.tries.get_mut(&id).filter(|t| t.waited) else { return };
         t.waited = false;
         let order = t.order;
-        self.after_try(order, id, Heard::Nothing);
+        self.after_try(order, id, AttemptResult::TimedOut);
     }
 
     /// A proxy owes an answer that should be out by now.
@@ -174,24 +174,30 @@
     }
 
     /// What a client does once it knows how a try ended, or has waited in vain.
-    fn after_try(&mut self, order: u64, id: u64, heard: Heard) {
+    fn after_try(&mut self, order: u64, id: u64, heard: AttemptResult) {
         let sent = self.tries[&id].sent;
-        let unreachable = heard == Heard::Unreachable;
+        let unreachable = heard == AttemptResult::Unreachable;
         self.record.at(self.now).counts.unreachable += u64::from(unreachable);
         let Some(o) = self.orders.get_mut(&order).filter(|o| !o.settled) else { return };
-        if heard == Heard::Served {
+        if heard == AttemptResult::Answered {
             o.settled = true;
             let (claim, latency) = (o.claim, self.now - o.want.since);
             self.record.served(self.spec, claim, latency);
             return;
         }
-        if matches!(heard, Heard::Failed | Heard::Nothing) {
+        if matches!(heard, AttemptResult::Failed | AttemptResult::TimedOut) {
             o.risked.get_or_insert(sent);
         }
         let effect = self.spec.classes[o.want.class as usize].effect();
         let (tries, risked) = (o.tries, o.risked);
-        let again =
-            self.client_behaviour.again(&o.want, effect, (heard, tries), risked, self.now, &mut self.clients);
+        let again = self.client_behaviour.retry_at(
+            &o.want,
+            effect,
+            (heard, tries),
+            risked,
+            self.now,
+            &mut self.clients,
+        );
         match again {
             Some(at) => self.agenda.put(at, Next::Try(order)),
             None => self.settle(order),
@@ -202,7 +208,7 @@
     fn settle(&mut self, order: u64) {
         if let Some(o) = self.orders.get_mut(&order).filter(|o| !o.settled) {
             o.settled = true;
-            let aim = ms(self.spec.classes[o.want.class as usize].aim_ms);
+            let aim = ms(self.spec.classes[o.want.class as usize].latency_objective_ms);
             let (claim, late) = (o.claim, self.now > o.want.since + aim);
             self.record.lost(claim, late);
             if o.refs == 0 {
--- a/lab/src/day/faults.rs
+++ b/lab/src/day/faults.rs
@@ -3,8 +3,8 @@
 use super::world::Next;
 use super::Day;
 use notchdoor_model::backend::State;
-use notchdoor_model::discovery::Listed;
-use notchdoor_model::faults::{Fault, Field, Kind};
+use notchdoor_model::discovery::ListedState;
+use notchdoor_model::faults::{Fault, FaultKind, ParameterName};
 use notchdoor_model::time::{secs, Time};
 use rand::seq::SliceRandom;
 use rand::RngExt;
@@ -54,32 +54,45 @@
         });
         let length = secs(fault.length_s);
         let until = self.now + length;
-        let (count, back) = (fault.get(Field::Count) as usize, secs(fault.get(Field::Back)));
+        let (count, back) = (
+            fault.parameter_value(ParameterName::Count) as usize,
+            secs(fault.parameter_value(ParameterName::Back)),
+        );
         match fault.kind {
-            Kind::Neighbour => self.neighbour(i, step, &fault, length),
-            Kind::Flush => {
+            FaultKind::NoisyNeighbor => self.neighbour(i, step, &fault, length),
+            FaultKind::Flush => {
                 let salt = self.fault_rng.random();
-                self.world.truth.flush(self.now, fault.get(Field::Share), salt);
+                self.world.truth.flush(self.now, fault.parameter_value(ParameterName::Share), salt);
             }
-            Kind::HotKey => {
-                let (share, every) = (fault.get(Field::Share), secs(fault.get(Field::Every)));
-                self.demand.heat(self.now, until, count as u64, share, every);
+            FaultKind::HotKey => {
+                let (share, every) = (
+                    fault.parameter_value(ParameterName::Share),
+                    secs(fault.parameter_value(ParameterName::Every)),
+                );
+                self.demand.add_hot_keys(self.now, until, count as u64, share, every);
             }
-            Kind::Scan => self.demand.scan(self.now, until, fault.get(Field::Share)),
-            Kind::Rush => self.demand.rush(self.now, until, fault.get(Field::Factor)),
-            Kind::LateReports => {
+            FaultKind::Scan => {
+                self.demand.add_scan(self.now, until, fault.parameter_value(ParameterName::Share));
+            }
+            FaultKind::RateChange => {
+                self.demand.scale_rate(self.now, until, fault.parameter_value(ParameterName::Factor));
+            }
+            FaultKind::LateReports => {
                 let (delay, skew) = if step == END {
                     (0, 0)
                 } else {
                     self.put_step(i, length, END);
-                    (secs(fault.get(Field::Delay)), secs(fault.get(Field::Skew)) as i64)
+                    (
+                        secs(fault.parameter_value(ParameterName::Delay)),
+                        secs(fault.parameter_value(ParameterName::Skew)) as i64,
+                    )
                 };
                 for (n, m) in self.world.machines.iter_mut().enumerate() {
-                    m.worker.reporter.trouble(delay, if n % 2 == 0 { skew } else { -skew });
+                    m.worker.reporter.set_delay_fault(delay, if n % 2 == 0 { skew } else { -skew });
                 }
             }
-            Kind::Shrink => self.shrink(i, step, &fault, length),
-            Kind::Grow => {
+            FaultKind::Shrink => self.shrink(i, step, &fault, length),
+            FaultKind::Grow => {
                 if (step as usize) < count {
                     let zones = self.spec.zones.len() as u32;
                     let zone = self.world.machines.len() as u32 % zones;
@@ -87,19 +100,19 @@
                     self.put_step(i, length / count.max(1) as Time, step + 1);
                 }
             }
-            Kind::KillWorkers => match step {
+            FaultKind::KillBackends => match step {
                 0 => {
                     let victims = self.some_workers(count);
                     for &machine in &victims {
                         self.kill_worker(machine);
-                        self.list_worker(machine, Listed::Gone, false);
+                        self.list_worker(machine, ListedState::Gone, false);
                     }
                     self.come_back(i, victims, back);
                 }
                 _ => self.start_again(i),
             },
-            Kind::RestartWorkers => self.restart_workers(i, step, &fault, length),
-            Kind::KillProxies | Kind::StaleList => match step {
+            FaultKind::RestartBackends => self.restart_workers(i, step, &fault, length),
+            FaultKind::KillProxies | FaultKind::StaleList => match step {
                 0 => {
                     let victims = self.some_proxies(count);
                     for &proxy in &victims {
@@ -109,9 +122,9 @@
                 }
                 _ => {
                     for proxy in self.fault_state.remove(&i).unwrap_or_default() {
-                        let stale = fault.kind == Kind::StaleList;
+                        let stale = fault.kind == FaultKind::StaleList;
                         let list = if stale {
-                            self.stale_list(fault.get(Field::Part))
+                            self.stale_list(fault.parameter_value(ParameterName::Part))
                         } else {
                             self.registry.list().to_vec()
                         };
@@ -119,30 +132,30 @@
                     }
                 }
             },
-            Kind::RestartProxies => self.restart_proxies(i, step, &fault, length),
-            Kind::ZoneCut => {
-                let zone = fault.get(Field::Zone) as u32 % self.spec.zones.len() as u32;
-                self.world.network.cut_zone(zone, step != END);
+            FaultKind::RestartProxies => self.restart_proxies(i, step, &fault, length),
+            FaultKind::ZoneCut => {
+                let zone = fault.parameter_value(ParameterName::Zone) as u32 % self.spec.zones.len() as u32;
+                self.world.network.set_zone_isolated(zone, step != END);
                 if step != END {
                     self.put_step(i, length, END);
                 }
             }
-            Kind::OriginStop => {
+            FaultKind::OriginStop => {
                 self.stop_origin(Some(until));
                 self.schedule_origin();
             }
-            Kind::RegistryDown => {
+            FaultKind::DiscoveryDown => {
                 let mut told = std::mem::take(&mut self.told);
-                self.registry.down(self.now, until, &mut told);
+                self.registry.fail_until(self.now, until, &mut told);
                 self.put_tellings(told);
             }
-            Kind::Silent => self.silent(i, step, count, length),
-            Kind::Readdress => match step {
+            FaultKind::Silent => self.silent(i, step, count, length),
+            FaultKind::ReuseAddress => match step {
                 0 => {
                     let victims = self.some_workers(count);
                     for &machine in &victims {
                         self.kill_worker(machine);
-                        self.list_worker(machine, Listed::Gone, false);
+                        self.list_worker(machine, ListedState::Gone, false);
                     }
                     self.fault_state.insert(i, victims);
                     // It is never back as itself, so 0 is at once here.
@@ -184,20 +197,20 @@
 
     fn neighbour(&mut self, i: u32, step: u32, fault: &Fault, length: Time) {
         if step == 0 {
-            let part = fault.get(Field::Part);
+            let part = fault.parameter_value(ParameterName::Part);
             let count = (part * self.world.machines.len() as f64).round().max(1.0);
             let victims = self.some_workers(count as usize);
             self.fault_state.insert(i, victims);
             self.put_step(i, length, END);
         }
         let on = step != END && step.is_multiple_of(2);
-        let share = if on { fault.get(Field::Share) } else { 0.0 };
+        let share = if on { fault.parameter_value(ParameterName::Share) } else { 0.0 };
         for machine in self.fault_state.get(&i).cloned().unwrap_or_default() {
             self.advance_machine(machine);
-            self.world.machines[machine as usize].worker.steal(self.now, share);
+            self.world.machines[machine as usize].worker.set_stolen_cpu_share(self.now, share);
             self.schedule_machine(machine);
         }
-        let every = secs(fault.get(Field::Every)).max(100_000);
+        let every = secs(fault.parameter_value(ParameterName::Every)).max(100_000);
         let ends = secs(self.spec.warm_up_s + fault.at_s) + length;
         if step != END && self.now + every < ends {
             self.put_step(i, every, step + 1);
@@ -206,7 +219,7 @@
 
     /// Odd steps drain one worker more, even ones end those whose drain is over.
     fn shrink(&mut self, i: u32, step: u32, fault: &Fault, length: Time) {
-        let part = fault.get(Field::Part);
+        let part = fault.parameter_value(ParameterName::Part);
         if step == 0 {
             let up = self.world.machines.iter().filter(|m| m.worker.state() == State::Up).count();
             let count = ((1.0 - part) * up as f64).round() as usize;
@@ -216,14 +229,14 @@
             for k in 0..n {
                 let after = length * k / n.max(1);
                 self.put_step(i, after, 1 + 2 * k as u32);
-                self.put_step(i, after + secs(fault.get(Field::Every)), 2 + 2 * k as u32);
+                self.put_step(i, after + secs(fault.parameter_value(ParameterName::Every)), 2 + 2 * k as u32);
             }
             // Traffic falls in four steps, for the rest of the day.
             let steps: u32 = 4;
             let factor = part.powf(1.0 / f64::from(steps));
             for k in 1..=steps {
                 let from = self.now + length * Time::from(k) / Time::from(steps);
-                self.demand.rush(from, Time::MAX, factor);
+                self.demand.scale_rate(from, Time::MAX, factor);
             }
             return;
         }
@@ -233,7 +246,7 @@
                 self.drain(machine);
             } else {
                 self.kill_worker(machine);
-                self.list_worker(machine, Listed::Gone, false);
+                self.list_worker(machine, ListedState::Gone, false);
             }
         }
     }
@@ -244,18 +257,21 @@
             m.worker.drain();
             let server = m.server;
             self.note(None, None, Some(server), || "drains".to_owned());
-            self.list_worker(machine, Listed::Draining, false);
+            self.list_worker(machine, ListedState::Draining, false);
         }
     }
 
     /// Workers drain, stop and start again, one after another, over the length of the fault.
     fn restart_workers(&mut self, i: u32, step: u32, fault: &Fault, length: Time) {
-        let count = fault.get(Field::Count) as usize;
+        let count = fault.parameter_value(ParameterName::Count) as usize;
         if step == 0 {
             let victims = self.some_workers(count);
             let n = victims.len() as Time;
             self.fault_state.insert(i, victims);
-            let (drain, back) = (secs(fault.get(Field::Every)), secs(fault.get(Field::Back)));
+            let (drain, back) = (
+                secs(fault.parameter_value(ParameterName::Every)),
+                secs(fault.parameter_value(ParameterName::Back)),
+            );
             for k in 0..n {
                 let after = length * k / n.max(1);
                 let first = 1 + 3 * k as u32;
@@ -271,7 +287,7 @@
             0 => self.drain(machine),
             1 => {
                 self.kill_worker(machine);
-                self.list_worker(machine, Listed::Gone, false);
+                self.list_worker(machine, ListedState::Gone, false);
             }
             _ => self.start_worker(machine),
         }
@@ -279,13 +295,13 @@
 
     /// Proxies stop in order and start again, one after another.
     fn restart_proxies(&mut self, i: u32, step: u32, fault: &Fault, length: Time) {
-        let count = fault.get(Field::Count) as usize;
+        let count = fault.parameter_value(ParameterName::Count) as usize;
         if step == 0 {
             let victims = self.some_proxies(count);
             let n = victims.len() as Time;
             self.fault_state.insert(i, victims);
             let longest = self.spec.classes.iter().map(|c| secs(c.deadline_ms / 1e3)).max().unwrap_or(0);
-            let back = secs(fault.get(Field::Back)).max(1);
+            let back = secs(fault.parameter_value(ParameterName::Back)).max(1);
             for k in 0..n {
                 let after = length * k / n.max(1);
                 let first = 1 + 3 * k as u32;
@@ -299,7 +315,10 @@
         let Some(&proxy) = victims.get(((step - 1) / 3) as usize) else { return };
         match (step - 1) % 3 {
             // It takes no new connections, and the front sees that at once.
-            0 => self.front.set_died(proxy, Some(self.now.saturating_sub(secs(self.spec.front.notice_s)))),
+            0 => self.front.set_down_since(
+                proxy,
+                Some(self.now.saturating_sub(secs(self.spec.front.detection_delay_s))),
+            ),
             1 => self.kill_proxy(proxy),
             _ => {
                 let list = self.registry.list().to_vec();
@@ -313,7 +332,7 @@
             let victims = self.some_workers(count);
             for &machine in &victims {
                 self.world.silence.begin(machine, self.now + length);
-                self.list_worker(machine, Listed::Gone, true);
+                self.list_worker(machine, ListedState::Gone, true);
             }
             self.fault_state.insert(i, victims);
             self.put_step(i, length, END);
@@ -322,9 +341,9 @@
         for machine in self.fault_state.remove(&i).unwrap_or_default() {
             self.world.silence.end(machine);
             let server = self.world.machines[machine as usize].server;
-            self.registry.take_back(server);
+            self.registry.discard_pending(server);
             if self.world.machines[machine as usize].worker.state() == State::Up {
-                self.list_worker(machine, Listed::Serving, false);
+                self.list_worker(machine, ListedState::Serving, false);
             }
         }
     }
--- a/lab/src/day/mod.rs
+++ b/lab/src/day/mod.rs
@@ -16,8 +16,8 @@
 use crate::rules::{Breach, Finding, NotifiedList, Rule, Sent, Verifier};
 use notchdoor::{Action, Event, Settings};
 use notchdoor_limits::policy::Policy as Limits;
-use notchdoor_model::clients::{ClientBehaviour, Demand, Heard, Want};
-use notchdoor_model::discovery::{Discovery, ServerId, Telling};
+use notchdoor_model::clients::{AttemptResult, ClientBehaviour, ClientRequest, Workload};
+use notchdoor_model::discovery::{Delivery, Discovery, ServerId};
 use notchdoor_model::front::Front;
 use notchdoor_model::spec::Spec;
 use notchdoor_model::station::Finished;
@@ -40,7 +40,7 @@
 
 /// What a client wants, over all its tries.
 struct Order {
-    want: Want,
+    want: ClientRequest,
     claim: Claim,
     tries: u32,
     /// When the first try that may have run was sent.
@@ -65,7 +65,7 @@
     open: bool,
     /// Its client waits for it.
     waited: bool,
-    heard: Option<Heard>,
+    heard: Option<AttemptResult>,
     attempts: Vec<Sent>,
     /// The numbers of its attempts, in the same order.
     numbers: Vec<u64>,
@@ -145,11 +145,11 @@
     world: World,
     registry: Discovery,
     registry_wake: Time,
-    tellings: FxHashMap<u64, Telling>,
+    tellings: FxHashMap<u64, Delivery>,
     next_telling: u64,
     proxies: Vec<Proxy>,
     front: Front,
-    demand: Demand,
+    demand: Workload,
     client_behaviour: ClientBehaviour,
     clients: ChaCha8Rng,
     fault_rng: ChaCha8Rng,
@@ -173,7 +173,7 @@
     falls: u32,
     actions: Vec<Action>,
     done: Vec<Finished>,
-    told: Vec<Telling>,
+    told: Vec<Delivery>,
     work_before: Vec<f64>,
 }
 
@@ -222,8 +222,8 @@
             tellings: FxHashMap::default(),
             next_telling: 0,
             proxies: Vec::new(),
-            front: Front::new((0..spec.proxies).map(|p| p % zones), secs(spec.front.notice_s)),
-            demand: Demand::new(spec, spec.rate(), seed),
+            front: Front::new((0..spec.proxies).map(|p| p % zones), secs(spec.front.detection_delay_s)),
+            demand: Workload::new(spec, spec.rate(), seed),
             client_behaviour: ClientBehaviour::new(&spec.clients),
             clients: rng(seed, Purpose::Clients),
             fault_rng: rng(seed, Purpose::Faults),
@@ -270,10 +270,10 @@
             day.agenda.put(at, Next::Fault(i as u32, 0));
         }
         if spec.warm_up_s > 0.0 {
-            day.world.origin.widen(world::WIDE);
+            day.world.origin.scale_capacity(world::WIDE);
             day.agenda.put(secs(spec.warm_up_s * world::WIDE_FOR), Next::Warm);
         }
-        let first = day.demand.next(0);
+        let first = day.demand.next_arrival(0);
         day.agenda.put(first, Next::Want);
         day.agenda.put(S, Next::Second);
         day
@@ -342,7 +342,7 @@
             Next::Fault(i, step) => self.fault(i, step),
             Next::Warm => {
                 self.advance_origin();
-                self.world.origin.widen(1.0);
+                self.world.origin.scale_capacity(1.0);
                 self.schedule_origin();
             }
             Next::Second => self.second(),
@@ -461,7 +461,7 @@
         }
         let window: f64 = self.proxies.iter().filter(|p| p.up).filter_map(|p| p.policy.window()).sum();
         let origin = self.world.origin.station();
-        let (held, origin_busy) = (origin.held(), origin.busy());
+        let (held, origin_busy) = (origin.in_flight(), origin.utilization());
         let before = self.now - S;
         let at = self.record.at(before);
         at.busy = (busy.0 / f64::from(up.max(1)), busy.1);
@@ -490,8 +490,8 @@
 
     fn check_bounds(&mut self) {
         let over = self.world.machines.iter().find(|m| {
-            let (used, room) = m.worker.memory().used();
-            m.worker.station().held() > m.worker.station().bound() || used > room
+            let (used, room) = m.worker.cache().used();
+            m.worker.station().in_flight() > m.worker.station().max_in_flight() || used > room
         });
         if let Some(server) = over.map(|m| m.server) {
             self.breach(
@@ -503,7 +503,7 @@
             );
         }
         let origin = self.world.origin.station();
-        if origin.held() > origin.bound() {
+        if origin.in_flight() > origin.max_in_flight() {
             self.breach(Rule::Bound, None, None, None, "the origin holds more than it can".to_owned());
         }
         let most = self.settings.max_in_flight as usize;
--- a/lab/src/day/proxies.rs
+++ b/lab/src/day/proxies.rs
@@ -5,13 +5,13 @@
 use crate::rules::{NotifiedList, Ran, Rule, Sent};
 use notchdoor::{Action, Endpoint, Event, Outcome, ServerState};
 use notchdoor_model::backend::State;
-use notchdoor_model::clients::Heard;
-use notchdoor_model::discovery::{Line, Listed, ServerId, Telling, Told};
+use notchdoor_model::clients::AttemptResult;
+use notchdoor_model::discovery::{Delivery, EndpointEntry, EndpointUpdate, ListedState, ServerId};
 use notchdoor_model::network::Connection;
 use notchdoor_model::time::{ms, secs, Time};
 use rand::RngExt;
 
-fn member(line: &Line) -> Endpoint {
+fn member(line: &EndpointEntry) -> Endpoint {
     Endpoint {
         server: line.server,
         kind: line.kind,
@@ -20,9 +20,9 @@
         size: line.size,
         started_at: line.started,
         state: match line.state {
-            Listed::Serving => ServerState::Serving,
-            Listed::Draining => ServerState::Draining,
-            Listed::Gone => ServerState::Gone,
+            ListedState::Serving => ServerState::Serving,
+            ListedState::Draining => ServerState::Draining,
+            ListedState::Gone => ServerState::Gone,
         },
     }
 }
@@ -113,7 +113,7 @@
                     let finding = self.verifier.may_refuse(Some(class), &t.attempts);
                     self.judge(finding, Some(proxy), Some(id), None);
                     self.record.at(self.now).counts.refused += 1;
-                    self.answer(id, Heard::Refused(retry_after));
+                    self.answer(id, AttemptResult::Rejected(retry_after));
                 }
             }
             Action::Fail { id } => {
@@ -121,7 +121,7 @@
                 self.note(Some(proxy), Some(id), None, || "fails it".to_owned());
                 if self.take_answer(proxy, id) {
                     self.record.at(self.now).counts.failed += 1;
-                    self.answer(id, Heard::Failed);
+                    self.answer(id, AttemptResult::Failed);
                 }
             }
             Action::Timer { after, token } => {
@@ -263,13 +263,13 @@
     fn dial(&mut self, attempt: u64, machine: u32, give_up_at: Time) {
         let (proxy, zone) = (self.attempts[&attempt].proxy, self.attempts[&attempt].zone);
         let timeout = ms(self.spec.backends.connect_timeout_ms).min(give_up_at - self.now);
-        let usual = self.world.network.usual(zone, self.world.zone(Some(machine)));
+        let usual = self.world.network.base_delay(zone, self.world.zone(Some(machine)));
         if self.world.machines[machine as usize].worker.state() == State::Down
             && !self.world.silence.is_silent(machine, self.now)
         {
             return self.never_sent(attempt, Outcome::ConnectFailed, 2 * usual);
         }
-        let (how, closed) = self.world.connections.take(self.now, proxy, machine);
+        let (how, closed) = self.world.connections.acquire(self.now, proxy, machine);
         for _ in 0..closed {
             self.world.machines[machine as usize].worker.connect(false);
         }
@@ -278,7 +278,7 @@
         if how == Connection::New {
             self.record.at(self.now).counts.opened += 1;
             if !reaches || !self.world.machines[machine as usize].worker.connect(true) {
-                self.world.connections.give_back(self.now, proxy, machine, true);
+                self.world.connections.release(self.now, proxy, machine, true);
                 let after = if reaches { 2 * usual } else { timeout };
                 return self.never_sent(attempt, Outcome::ConnectFailed, after);
             }
@@ -340,7 +340,7 @@
             // A connection is given up with what was not answered on it.
             let closed = !matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::Rejected | Outcome::Error);
             let machine = machine.expect("only workers have places");
-            self.world.connections.give_back(self.now, proxy, machine, closed);
+            self.world.connections.release(self.now, proxy, machine, closed);
             if closed {
                 self.world.machines[machine as usize].worker.connect(false);
             }
@@ -371,7 +371,7 @@
         if served {
             self.store(id, made);
             self.close(id);
-            self.answer(id, Heard::Served);
+            self.answer(id, AttemptResult::Answered);
         }
         let t = &self.tries[&id];
         if !t.open && t.out == 0 && !served {
@@ -389,9 +389,9 @@
         let Some(m) = machine.map(|m| &self.world.machines[m as usize]) else { return };
         let t = self.tries.get_mut(&id).expect("its attempt has just ended");
         let told = &self.proxies[t.proxy as usize].told;
-        let started = m.worker.started();
+        let started = m.worker.started_at();
         if started > 0
-            && self.now < started + secs(self.spec.rules.cold_s)
+            && self.now < started + secs(self.spec.rules.warmup_s)
             && told.knows_start(m.server, started)
         {
             t.cold_miss = true;
@@ -407,7 +407,7 @@
         }
         for machine in t.missed.into_iter().flatten() {
             if !self.world.silence.is_silent(machine, self.now) {
-                self.world.machines[machine as usize].worker.store(want.key, made, want.room);
+                self.world.machines[machine as usize].worker.store(want.key, made, want.size);
             }
         }
     }
@@ -423,7 +423,7 @@
 
     // ---- The list ----
 
-    pub(super) fn put_tellings(&mut self, mut told: Vec<Telling>) {
+    pub(super) fn put_tellings(&mut self, mut told: Vec<Delivery>) {
         for telling in told.drain(..) {
             let at = self.at_proxy(telling.at);
             self.next_telling += 1;
@@ -449,15 +449,15 @@
         if !self.proxies[proxy as usize].up {
             return;
         }
-        match telling.told {
-            Told::Whole(lines) => self.tell_list(proxy, &lines, true),
-            Told::Changes(lines) => self.tell_list(proxy, &lines, false),
-            Told::Error => self.feed(proxy, Event::DiscoveryError),
+        match telling.update {
+            EndpointUpdate::FullList(lines) => self.tell_list(proxy, &lines, true),
+            EndpointUpdate::Changes(lines) => self.tell_list(proxy, &lines, false),
+            EndpointUpdate::Error => self.feed(proxy, Event::DiscoveryError),
         }
     }
 
     /// A proxy is told lines of the list.
-    pub(super) fn tell_list(&mut self, proxy: u32, lines: &[Line], whole: bool) {
+    pub(super) fn tell_list(&mut self, proxy: u32, lines: &[EndpointEntry], whole: bool) {
         self.proxies[proxy as usize].told.told(self.now, lines, whole);
         let members: Vec<Endpoint> = lines.iter().map(member).collect();
         let event = if whole { Event::EndpointList(&members) } else { Event::EndpointUpdate(&members) };
@@ -466,9 +466,9 @@
 
     /// A proxy that neither watches nor asks for as long as it may is taken to have been told the list.
     pub(super) fn deem_told(&mut self) {
-        let most = secs(self.spec.discovery.ask_every_s);
+        let most = secs(self.spec.discovery.poll_interval_s);
         for p in 0..self.proxies.len() {
-            if self.registry.attends(p as u32) {
+            if self.registry.is_watching(p as u32) {
                 self.proxies[p].asked_at = self.now;
             } else if self.proxies[p].up && self.now > self.proxies[p].asked_at + most {
                 let list = self.registry.list();
@@ -492,9 +492,9 @@
         (p.held, p.out) = (0, 0);
         let mut open: Vec<u64> = p.open.drain().collect();
         open.sort_unstable();
-        self.front.set_died(proxy, Some(self.now));
-        self.registry.forget(proxy);
-        for (machine, lost) in self.world.connections.drop_proxy(proxy) {
+        self.front.set_down_since(proxy, Some(self.now));
+        self.registry.remove_proxy(proxy);
+        for (machine, lost) in self.world.connections.close_proxy(proxy) {
             for _ in 0..lost {
                 self.world.machines[machine as usize].worker.connect(false);
             }
@@ -523,14 +523,14 @@
             if let Some(t) = self.tries.get_mut(&id) {
                 t.open = false;
                 // The connection breaks under the client: the request may have run.
-                self.answer(id, Heard::Failed);
+                self.answer(id, AttemptResult::Failed);
             }
             self.drop_try(id);
         }
     }
 
     /// A proxy's process starts, with the list as given as what it held last.
-    pub(super) fn start_proxy(&mut self, proxy: u32, list: &[Line]) {
+    pub(super) fn start_proxy(&mut self, proxy: u32, list: &[EndpointEntry]) {
         // Guards against two faults that took the same proxy, and both bring it back.
         if self.proxies[proxy as usize].up {
             return;
@@ -545,17 +545,17 @@
         p.policy = policy;
         p.told = NotifiedList::default();
         p.asked_at = self.now;
-        self.front.set_died(proxy, None);
+        self.front.set_down_since(proxy, None);
         self.tell_list(proxy, list, true);
     }
 
     /// A list as it might have been long ago: part of the fleet, and machines that are gone.
-    pub(super) fn stale_list(&mut self, part: f64) -> Vec<Line> {
+    pub(super) fn stale_list(&mut self, part: f64) -> Vec<EndpointEntry> {
         let mut lines = Vec::new();
         for (i, line) in self.world.lines().into_iter().enumerate() {
             let known = line.kind == super::world::ORIGIN_KIND || self.fault_rng.random::<f64>() < part;
             let server = if known { line.server } else { ghost(i as u32) };
-            lines.push(Line { server, started: 0, ..line });
+            lines.push(EndpointEntry { server, started: 0, ..line });
         }
         lines
     }
--- a/lab/src/day/servers.rs
+++ b/lab/src/day/servers.rs
@@ -4,10 +4,10 @@
 use super::Day;
 use crate::rules::Rule;
 use notchdoor::Outcome;
-use notchdoor_model::backend::{State, Taken};
-use notchdoor_model::discovery::{Line, Listed};
+use notchdoor_model::backend::{Admission, State};
+use notchdoor_model::discovery::{EndpointEntry, ListedState};
 use notchdoor_model::origin;
-use notchdoor_model::slow_start::Meter;
+use notchdoor_model::slow_start::SlowStartMeter;
 use notchdoor_model::spec::Effect;
 use notchdoor_model::time::Time;
 
@@ -64,7 +64,7 @@
         }
         let want = &self.orders[&a.order].want;
         let (key, write, work, proxy) = (want.key, want.write, a.work + a.handshake, a.proxy);
-        let (server, started) = (m.server, m.worker.started());
+        let (server, started) = (m.server, m.worker.started_at());
         let told = self.proxies[proxy as usize].told.knows_start(a.server, started);
         if write {
             // Workers do nothing but store: a write is not for them.
@@ -75,17 +75,17 @@
         let taken =
             world.machines[machine as usize].worker.offer(self.now, attempt, key, work, told, &world.truth);
         match taken {
-            Taken::InWork => {}
-            Taken::Miss => self.reply(attempt, Outcome::Miss, QUICK),
-            Taken::Full => self.reply(attempt, Outcome::Rejected, QUICK),
-            Taken::Falls(over) => {
+            Admission::Accepted => {}
+            Admission::Miss => self.reply(attempt, Outcome::Miss, QUICK),
+            Admission::Full => self.reply(attempt, Outcome::Rejected, QUICK),
+            Admission::Overloaded(over) => {
                 self.falls += 1;
                 self.note(None, None, Some(server), || "falls over".to_owned());
                 let finding = self.verifier.fell(server, &over);
                 self.judge(finding, None, None, Some(server));
                 self.reply(attempt, Outcome::Reset, 0);
                 self.kill_worker(machine);
-                self.list_worker(machine, Listed::Gone, false);
+                self.list_worker(machine, ListedState::Gone, false);
             }
         }
         self.schedule_machine(machine);
@@ -94,8 +94,8 @@
     /// Work reaches a backend that may be warming up: counts it against what the settings allow.
     fn meter_slow_start(&mut self, machine: u32, work: f64, notified: bool) {
         let m = &mut self.world.machines[machine as usize];
-        let (server, started) = (m.server, m.worker.started());
-        let Some(reading) = m.slow_start.as_mut().and_then(|meter| meter.arrive(self.now, work, notified))
+        let (server, started) = (m.server, m.worker.started_at());
+        let Some(reading) = m.slow_start.as_mut().and_then(|meter| meter.record(self.now, work, notified))
         else {
             return;
         };
@@ -116,9 +116,9 @@
         let blamed = if a.blamed { a.work } else { 0.0 };
         let work = a.work;
         match self.world.origin.offer(self.now, attempt, work, blamed) {
-            origin::Taken::InWork => {}
-            origin::Taken::Full => self.reply(attempt, Outcome::Rejected, QUICK),
-            origin::Taken::Stops(over) => {
+            origin::Admission::Accepted => {}
+            origin::Admission::Full => self.reply(attempt, Outcome::Rejected, QUICK),
+            origin::Admission::Overloaded(over) => {
                 self.stops += 1;
                 self.note(None, None, None, || "the origin stops".to_owned());
                 let finding = self.verifier.stopped(&over);
@@ -170,7 +170,8 @@
         self.world.machines[machine as usize].worker.advance(self.now, &mut done);
         for finished in done.drain(..) {
             let world = &mut self.world;
-            let error = world.machines[machine as usize].worker.answers_error(self.now, &mut world.service);
+            let error =
+                world.machines[machine as usize].worker.complete_request(self.now, &mut world.service);
             self.reply(finished.job, if error { Outcome::Error } else { Outcome::Ok }, 0);
         }
         self.done = done;
@@ -211,13 +212,14 @@
         if o.want.write {
             let effect = self.spec.classes[o.want.class as usize].effect();
             // A repeat of a keyed write within its window gets the receipt again, and changes nothing.
-            let dropped = matches!(effect, Effect::Keyed { window } if o.ran > 0 && now < o.ran_at + window);
+            let dropped =
+                matches!(effect, Effect::Deduplicated { window } if o.ran > 0 && now < o.ran_at + window);
             if !dropped {
                 o.ran += 1;
                 o.ran_at = now;
                 let (class, times, key) = (o.want.class, o.ran, o.want.key);
                 self.digest(33, &[order, u64::from(times)]);
-                self.world.truth.wrote(now, key);
+                self.world.truth.record_write(now, key);
                 let finding = self.verifier.ran(class, times);
                 self.judge(finding, Some(proxy), Some(request), Some(server));
             }
@@ -235,7 +237,7 @@
         m.process += 1;
         let server = m.server;
         let jobs = m.worker.kill(self.now);
-        self.world.connections.drop_machine(machine);
+        self.world.connections.close_server(machine);
         self.digest(34, &[u64::from(machine)]);
         self.note(None, None, Some(server), || "its process ends".to_owned());
         // What waits for an answer that is on its way, or lost, keeps no place on a connection that is gone.
@@ -255,21 +257,21 @@
             return;
         }
         m.worker.start(now);
-        m.line.started = m.worker.started();
+        m.line.started = m.worker.started_at();
         let allowance = slow_start_allowance(self.spec);
-        m.slow_start = Some(Meter::new(allowance, m.worker.full_capacity(), m.worker.started()));
+        m.slow_start = Some(SlowStartMeter::new(allowance, m.worker.full_capacity(), m.worker.started_at()));
         let server = m.server;
         self.world.cold.push(machine);
         self.digest(35, &[u64::from(machine)]);
         self.note(None, None, Some(server), || "starts".to_owned());
-        self.registry.take_back(server);
-        self.list_worker(machine, Listed::Serving, false);
+        self.registry.discard_pending(server);
+        self.list_worker(machine, ListedState::Serving, false);
     }
 
     /// The registry comes to know of a worker.
-    pub(super) fn list_worker(&mut self, machine: u32, state: Listed, silent: bool) {
-        let line = Line { state, ..self.world.machines[machine as usize].line };
-        self.registry.change(self.now, line, silent);
+    pub(super) fn list_worker(&mut self, machine: u32, state: ListedState, silent: bool) {
+        let line = EndpointEntry { state, ..self.world.machines[machine as usize].line };
+        self.registry.schedule_change(self.now, line, silent);
         self.schedule_registry();
     }
 
@@ -279,10 +281,10 @@
         let workers = self.world.machines.iter().map(|m| (Some(m.server), m.worker.station()));
         let stations = workers.chain([(None, self.world.origin.station())]);
         let wrong = stations.filter(|(_, s)| {
-            let (t, held) = (s.tally(), s.held());
+            let (t, held) = (s.tally(), s.in_flight());
             t.taken != t.finished + t.dropped + held as u64 || held == 0 && t.held_time != t.sojourn
         });
-        let wrong: Vec<_> = wrong.map(|(server, s)| (server, s.tally(), s.held())).collect();
+        let wrong: Vec<_> = wrong.map(|(server, s)| (server, s.tally(), s.in_flight())).collect();
         for (server, tally, held) in wrong {
             let who = server.map_or("the origin".to_owned(), |s| format!("server {s}"));
             let what = format!("{who} holds {held} and has lost count: {tally:?}");
--- a/lab/src/day/world.rs
+++ b/lab/src/day/world.rs
@@ -3,15 +3,15 @@
 use crate::interface::OracleView;
 use notchdoor::{Class, Discovery, Key, Scope, ServerId, Settings, Tenant};
 use notchdoor_limits::policy_file::PolicyContext;
-use notchdoor_model::backend::{self, Backend, Choke, State};
-use notchdoor_model::discovery::{self, Line, Listed};
-use notchdoor_model::memory::Truth;
-use notchdoor_model::network::{Connections, Network, Silence};
+use notchdoor_model::backend::{self, Backend, Degradation, State};
+use notchdoor_model::cache::Validity;
+use notchdoor_model::discovery::{self, EndpointEntry, ListedState};
+use notchdoor_model::network::{Connections, Network, SilentMachines};
 use notchdoor_model::origin::{self, Origin};
 use notchdoor_model::report::Reporter;
-use notchdoor_model::slow_start::{Allowance, Meter};
+use notchdoor_model::slow_start::{Allowance, SlowStartMeter};
 use notchdoor_model::spec::{Effect, Spec};
-use notchdoor_model::station::{self, Crowding};
+use notchdoor_model::station::{self, Contention};
 use notchdoor_model::time::{ms, rng, secs, Purpose, Time, NEVER};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -43,13 +43,13 @@
     /// Its number as a server.
     pub server: ServerId,
     /// Its line in the list.
-    pub line: Line,
+    pub line: EndpointEntry,
     /// When its next wake-up is on the agenda; [`NEVER`] if none is.
     pub wake: Time,
     /// Processes that it has had: a connection belongs to one of them.
     pub process: u32,
     /// What it is sent while it warms up after its latest start.
-    pub slow_start: Option<Meter>,
+    pub slow_start: Option<SlowStartMeter>,
 }
 
 /// Everything but the proxies and the clients.
@@ -63,11 +63,11 @@
     /// When its next wake-up is on the agenda.
     pub origin_wake: Time,
     /// Which copies are void.
-    pub truth: Truth,
+    pub truth: Validity,
     /// Delays and cut links.
     pub network: Network,
     /// Machines that say nothing.
-    pub silence: Silence,
+    pub silence: SilentMachines,
     /// Connections of proxies to workers, in virtual time.
     pub connections: Connections,
     /// What delays are drawn from.
@@ -104,27 +104,27 @@
         let cores = spec.origin_capacity() * o.fetch_ms / 1e3;
         let slots = cores.ceil().max(1.0);
         let waiting = (spec.origin_capacity() * o.queue_s).ceil();
-        let figures = origin::Figures {
-            station: station::Figures {
+        let figures = origin::Config {
+            station: station::Config {
                 cores,
                 slots: slots as usize,
-                room: waiting as usize,
-                crowding: Crowding { from: slots, cost: o.crowding },
+                queue_capacity: waiting as usize,
+                contention: Contention { from: slots, cost: o.contention },
             },
-            fall_multiple: o.fall_multiple,
-            fall_time: secs(o.fall_s),
-            down: secs(o.down_s),
-            most_stops: 2,
-            drops_unwanted: o.drops_unwanted,
+            overload_multiple: o.overload_multiple,
+            overload_window: secs(o.overload_window_s),
+            outage: secs(o.down_s),
+            max_stops: 2,
+            drops_cancelled: o.drops_cancelled,
         };
         let mut world = World {
             machines: Vec::new(),
             address: FxHashMap::default(),
             origin: Origin::new(figures, fetch_work),
             origin_wake: NEVER,
-            truth: Truth::new((spec.keys.keep_s > 0.0).then(|| secs(spec.keys.keep_s))),
+            truth: Validity::new((spec.keys.ttl_s > 0.0).then(|| secs(spec.keys.ttl_s))),
             network,
-            silence: Silence::default(),
+            silence: SilentMachines::default(),
             connections: Connections::new(spec.backends.streams, secs(spec.backends.idle_s)),
             way: rng(seed, Purpose::Network),
             service: rng(seed, Purpose::Service),
@@ -148,39 +148,46 @@
         // Within twice the deviation, evenly: no machine is faster than its kind by chance alone.
         let off = 1.0 + w.speed_cv * 1.7 * (2.0 * self.make.random::<f64>() - 1.0);
         let speed = if slow { w.speeds.1 } else { w.speeds.0 } * off;
-        let figures = backend::Figures {
-            station: station::Figures {
+        let figures = backend::Config {
+            station: station::Config {
                 cores: w.cores,
                 slots: (f64::from(w.slots) * w.cores).ceil() as usize,
-                room: (f64::from(w.room) * w.cores).ceil() as usize,
-                crowding: Crowding { from: w.crowding.0 * w.cores, cost: w.crowding.1 },
+                queue_capacity: (f64::from(w.queue_capacity) * w.cores).ceil() as usize,
+                contention: Contention { from: w.contention.0 * w.cores, cost: w.contention.1 },
             },
             speed,
-            cold_from: w.cold_from,
-            cold: secs(w.cold_s),
-            fall_multiple: spec.rules.fall_multiple,
-            fall_time: secs(spec.rules.fall_s),
-            memory: self.memory,
-            evict: w.evict,
+            initial_capacity_share: w.initial_capacity_share,
+            warmup: secs(w.warmup_s),
+            overload_multiple: spec.rules.overload_multiple,
+            overload_window: secs(spec.rules.overload_window_s),
+            cache: self.memory,
+            eviction: w.eviction,
             error_rate: w.error_rate,
             on_cancel: w.on_cancel,
-            connections: w.connections,
-            full_tax: w.full_tax,
-            choke: (w.choke_at > 0.0).then(|| Choke {
-                at: w.choke_at,
-                over: secs(w.choke_over_s),
-                slower: w.choke_slower,
-                below: w.choke_rest.0,
-                rest: secs(w.choke_rest.1),
-                most: secs(w.choke_most_s),
+            max_connections: w.connections,
+            max_connection_overhead: w.max_connection_overhead,
+            degradation: (w.degraded_at > 0.0).then(|| Degradation {
+                in_flight_per_core: w.degraded_at,
+                after: secs(w.degraded_after_s),
+                slowdown: w.degraded_slowdown,
+                recovery_utilization: w.degraded_recovery.0,
+                recovery_time: secs(w.degraded_recovery.1),
+                max_duration: secs(w.max_degraded_s),
             }),
         };
         let (period, delay, noise) = w.report_ms;
         let reporter = Reporter::new(ms(period), ms(delay), noise, 0);
         let server = number(i + 1);
-        let size = if spec.discovery.tells_sizes { speed * w.cores } else { 1.0 };
-        let line =
-            Line { server, kind: slow.into(), zone, cell: i / 4, size, started: 0, state: Listed::Serving };
+        let size = if spec.discovery.lists_true_sizes { speed * w.cores } else { 1.0 };
+        let line = EndpointEntry {
+            server,
+            kind: slow.into(),
+            zone,
+            cell: i / 4,
+            size,
+            started: 0,
+            state: ListedState::Serving,
+        };
         let worker = Backend::new(figures, reporter, self.mean_work);
         self.machines.push(Machine { worker, server, line, wake: NEVER, process: 0, slow_start: None });
         self.address.insert(server, i);
@@ -188,15 +195,15 @@
     }
 
     /// The list as it is when the day begins.
-    pub fn lines(&self) -> Vec<Line> {
-        let origin = Line {
+    pub fn lines(&self) -> Vec<EndpointEntry> {
+        let origin = EndpointEntry {
             server: ORIGIN,
             kind: ORIGIN_KIND,
             zone: ORIGIN_ZONE,
             cell: u32::MAX,
             size: 1.0,
             started: 0,
-            state: Listed::Serving,
+            state: ListedState::Serving,
         };
         self.machines.iter().map(|m| m.line).chain([origin]).collect()
     }
@@ -206,15 +213,15 @@
         let machines = &self.machines;
         self.cold.retain(|&m| {
             let worker = &machines[m as usize].worker;
-            worker.state() != State::Down && now < worker.started() + secs(spec.rules.cold_s)
+            worker.state() != State::Down && now < worker.started_at() + secs(spec.rules.warmup_s)
         });
         if self.cold.is_empty() {
             return 0.0;
         }
         let weight = |m: &u32| {
-            let age = (now - self.machines[*m as usize].worker.started()) as f64;
-            let rise = age / secs(spec.rules.cold_s).max(1) as f64;
-            spec.rules.cold_from + (1.0 - spec.rules.cold_from) * rise
+            let age = (now - self.machines[*m as usize].worker.started_at()) as f64;
+            let rise = age / secs(spec.rules.warmup_s).max(1) as f64;
+            spec.rules.initial_capacity_share + (1.0 - spec.rules.initial_capacity_share) * rise
         };
         let cold: f64 = self.cold.iter().map(weight).sum();
         let up = self.machines.iter().filter(|m| m.worker.state() == State::Up).count();
@@ -225,7 +232,7 @@
     /// Whether what is sent between a proxy's zone and a machine (`None`: the origin) arrives.
     pub fn reaches(&self, now: Time, zone: u32, machine: Option<u32>) -> bool {
         let silent = machine.is_some_and(|m| self.silence.is_silent(m, now));
-        !silent && self.network.linked(zone, self.zone(machine))
+        !silent && self.network.is_reachable(zone, self.zone(machine))
     }
 
     /// The zone of a machine, or of the origin.
@@ -262,17 +269,17 @@
 impl OracleView for View<'_> {
     fn wait(&self, server: ServerId, work: f64) -> Option<f64> {
         let machine = self.machine(server)?;
-        let held = machine.worker.station().held();
-        if held >= machine.worker.station().bound() {
+        let held = machine.worker.station().in_flight();
+        if held >= machine.worker.station().max_in_flight() {
             return None;
         }
         let sharing = (held as f64 + 1.0).max(1.0);
-        let trip = 2.0 * self.world.network.usual(self.zone, machine.line.zone) as f64;
+        let trip = 2.0 * self.world.network.base_delay(self.zone, machine.line.zone) as f64;
         Some(trip + work * sharing / machine.worker.capacity(self.now).max(1e-9))
     }
 
     fn holds(&self, server: ServerId, key: Key) -> bool {
-        self.machine(server).is_some_and(|m| m.worker.memory().peek(self.now, key, &self.world.truth))
+        self.machine(server).is_some_and(|m| m.worker.cache().peek(self.now, key, &self.world.truth))
     }
 
     fn capacity(&self, server: ServerId) -> f64 {
@@ -284,43 +291,43 @@
         if origin.is_down(self.now) || !self.world.reaches(self.now, self.zone, None) {
             return None;
         }
-        let waiting = origin.station().held() - origin.station().in_work();
-        let cores = origin.station().bound().max(1) as f64;
-        let rate = origin.station().in_work().max(1) as f64;
+        let waiting = origin.station().in_flight() - origin.station().running();
+        let cores = origin.station().max_in_flight().max(1) as f64;
+        let rate = origin.station().running().max(1) as f64;
         Some(self.world.fetch_work * (1.0 + waiting as f64 / rate.min(cores)))
     }
 
     fn reported(&self, server: ServerId) -> Option<f64> {
-        self.machine(server)?.worker.reporter.seen(self.now).map(|r| r.util)
+        self.machine(server)?.worker.reporter.latest_visible(self.now).map(|r| r.util)
     }
 }
 
 /// What the registry is like.
-pub fn registry_figures(spec: &Spec) -> discovery::Figures {
+pub fn registry_figures(spec: &Spec) -> discovery::Config {
     let r = &spec.discovery;
-    discovery::Figures {
-        add_notice: secs(r.add_s),
-        notice: secs(r.notice_s),
-        silent_notice: secs(r.silent_s),
-        period: ms(r.period_ms),
-        spread: ms(r.spread_ms),
-        call: ms(r.call_ms.0),
-        line: ms(r.call_ms.1),
-        timeout: ms(r.timeout_ms),
+    discovery::Config {
+        add_delay: secs(r.add_delay_s),
+        removal_delay: secs(r.removal_delay_s),
+        silent_removal_delay: secs(r.silent_removal_delay_s),
+        publish_period: ms(r.publish_period_ms),
+        max_delivery_delay: ms(r.max_delivery_delay_ms),
+        call_time: ms(r.call_ms.0),
+        call_time_per_endpoint: ms(r.call_ms.1),
+        call_timeout: ms(r.timeout_ms),
     }
 }
 
 /// The settings that the decision modules of a day are given.
 pub fn settings(spec: &Spec) -> Settings {
     let class = |c: &notchdoor_model::spec::ClassSpec| Class {
-        latency_objective: ms(c.aim_ms),
-        priority_weight: c.worth,
-        late_value_share: c.late_worth,
+        latency_objective: ms(c.latency_objective_ms),
+        priority_weight: c.priority_weight,
+        late_value_share: c.late_value_share,
         window_share: 1.0,
         effect: match c.effect() {
-            Effect::Safe => notchdoor::Effect::Idempotent,
-            Effect::Keyed { window } => notchdoor::Effect::Deduplicated { scope: Scope::All, window },
-            Effect::Unsafe => notchdoor::Effect::AtMostOnce,
+            Effect::Idempotent => notchdoor::Effect::Idempotent,
+            Effect::Deduplicated { window } => notchdoor::Effect::Deduplicated { scope: Scope::All, window },
+            Effect::AtMostOnce => notchdoor::Effect::AtMostOnce,
         },
     };
     let r = &spec.rules;
@@ -328,29 +335,29 @@
         proxies: spec.proxies,
         classes: spec.classes.iter().map(class).collect(),
         tenants: quotas(spec).into_iter().map(|quota_per_s| Tenant { quota_per_s }).collect(),
-        over_quota_weight: r.over_share_worth,
+        over_quota_weight: r.over_quota_weight,
         origin_kind: Some(ORIGIN_KIND),
-        discovery: Discovery::OnRequest { poll_interval: secs(spec.discovery.ask_every_s) },
+        discovery: Discovery::OnRequest { poll_interval: secs(spec.discovery.poll_interval_s) },
         sizes_are_live: false,
         max_attempts: r.max_attempts,
-        hedging: r.second_copies,
+        hedging: r.hedging,
         may_cancel: r.may_cancel,
-        max_retry_after: ms(spec.clients.most_wait_ms),
-        max_in_flight: r.most_held,
-        initial_capacity_share: r.cold_from,
-        warmup: secs(r.cold_s),
-        overload_multiple: r.fall_multiple,
-        overload_window: secs(r.fall_s),
+        max_retry_after: ms(spec.clients.max_retry_after_ms),
+        max_in_flight: r.max_in_flight,
+        initial_capacity_share: r.initial_capacity_share,
+        warmup: secs(r.warmup_s),
+        overload_multiple: r.overload_multiple,
+        overload_window: secs(r.overload_window_s),
     }
 }
 
 /// What the settings allow a warming backend.
 pub fn slow_start_allowance(spec: &Spec) -> Allowance {
     Allowance {
-        fall_multiple: spec.rules.fall_multiple,
-        fall_time: secs(spec.rules.fall_s),
-        cold_from: spec.rules.cold_from,
-        cold: secs(spec.rules.cold_s),
+        overload_multiple: spec.rules.overload_multiple,
+        overload_window: secs(spec.rules.overload_window_s),
+        initial_capacity_share: spec.rules.initial_capacity_share,
+        warmup: secs(spec.rules.warmup_s),
         mean_work: spec.mean_work(),
     }
 }
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use notchdoor_limits::layer::LimitsMetrics;
 use notchdoor_model::faults::Fault;
-use notchdoor_model::slow_start::Reading;
+use notchdoor_model::slow_start::WindowLoad;
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::{Time, S};
 use serde::{Deserialize, Serialize};
@@ -303,7 +303,7 @@
     }
 
     /// A request is wanted: what it may earn.
-    pub fn wanted(&mut self, spec: &Spec, want: &notchdoor_model::clients::Want) -> Claim {
+    pub fn wanted(&mut self, spec: &Spec, want: &notchdoor_model::clients::ClientRequest) -> Claim {
         let tenant = want.tenant as usize;
         let second = want.since / S;
         if self.used[tenant].0 != second {
@@ -312,7 +312,7 @@
         self.used[tenant].1 += 1.0;
         let within = self.used[tenant].1 <= self.quota[tenant];
         let class = &spec.classes[want.class as usize];
-        let worth = class.worth * if within { 1.0 } else { spec.rules.over_share_worth };
+        let worth = class.priority_weight * if within { 1.0 } else { spec.rules.over_quota_weight };
         let claim = Claim { since: want.since, class: want.class, tenant: want.tenant, worth, within };
         let at = self.at(want.since);
         at.counts.wanted += 1;
@@ -329,8 +329,8 @@
     /// A request is served, `latency` after it was wanted.
     pub fn served(&mut self, spec: &Spec, claim: Claim, latency: Time) {
         let class = &spec.classes[claim.class as usize];
-        let in_time = latency as f64 <= class.aim_ms * 1e3;
-        let earned = claim.worth * if in_time { 1.0 } else { class.late_worth };
+        let in_time = latency as f64 <= class.latency_objective_ms * 1e3;
+        let earned = claim.worth * if in_time { 1.0 } else { class.late_value_share };
         let scored = self.scored(claim.since);
         let at = self.at(claim.since);
         at.counts.served += 1;
@@ -359,17 +359,17 @@
 
     /// What a warming backend was sent in the span that ends now. Says whether that is over the limit, and for the
     /// first time since the backend's start.
-    pub fn slow_start(&mut self, server: u32, started: Time, now: Time, reading: &Reading) -> bool {
+    pub fn slow_start(&mut self, server: u32, started: Time, now: Time, reading: &WindowLoad) -> bool {
         let known = self.slow_starts.iter().rposition(|p| p.server == server && p.started == started);
         let peak = SlowStartPeak {
             server,
             started,
             at: now,
-            share: reading.share(),
+            share: reading.limit_share(),
             notified: reading.notified,
             total: reading.total,
             allowed: reading.allowed,
-            over: reading.is_over(),
+            over: reading.exceeds_limit(),
         };
         let Some(known) = known else {
             self.slow_starts.push(peak);
--- a/lab/src/rules.rs
+++ b/lab/src/rules.rs
@@ -2,9 +2,9 @@
 //! WIRE; the rest are the host's and the model's own promises.
 
 use notchdoor::{Effect, Micros, Outcome, Scope, Settings};
-use notchdoor_model::discovery::{Line, Listed, ServerId};
-use notchdoor_model::overload::Overdrawn;
-use notchdoor_model::slow_start::{limit, Reading};
+use notchdoor_model::discovery::{EndpointEntry, ListedState, ServerId};
+use notchdoor_model::overload::Overload;
+use notchdoor_model::slow_start::{max_requests, WindowLoad};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
@@ -117,7 +117,7 @@
 
 impl NotifiedList {
     /// The proxy is told these lines now.
-    pub fn told(&mut self, now: Micros, lines: &[Line], whole: bool) {
+    pub fn told(&mut self, now: Micros, lines: &[EndpointEntry], whole: bool) {
         if whole {
             let named: rustc_hash::FxHashSet<ServerId> = lines.iter().map(|l| l.server).collect();
             for (server, known) in &mut self.known {
@@ -130,7 +130,7 @@
             let fresh = Known { zone: line.zone, cell: line.cell, started: line.started, unwanted: None };
             let known = self.known.entry(line.server).or_insert(fresh);
             let unwanted =
-                if line.state == Listed::Serving { None } else { Some(known.unwanted.unwrap_or(now)) };
+                if line.state == ListedState::Serving { None } else { Some(known.unwanted.unwrap_or(now)) };
             *known = Known { unwanted, ..fresh };
         }
     }
@@ -230,8 +230,8 @@
     }
 
     /// A cold worker has fallen over.
-    pub fn fell(&self, server: ServerId, over: &Overdrawn) -> Finding {
-        let share = over.blamed / over.sent.max(1e-9);
+    pub fn fell(&self, server: ServerId, over: &Overload) -> Finding {
+        let share = over.attributed / over.sent.max(1e-9);
         if share < NOTIFIED_BLAMED {
             return Ok(());
         }
@@ -247,8 +247,8 @@
     }
 
     /// A warming backend has been sent this much in a span of the fall time.
-    pub fn slow_start(&self, server: ServerId, reading: &Reading) -> Finding {
-        if !reading.is_over() || reading.notified < NOTIFIED_BLAMED * reading.total {
+    pub fn slow_start(&self, server: ServerId, reading: &WindowLoad) -> Finding {
+        if !reading.exceeds_limit() || reading.notified < NOTIFIED_BLAMED * reading.total {
             return Ok(());
         }
         broken(
@@ -257,15 +257,15 @@
                 "warming server {server} gets {:.1} requests of mean work where {:.1} are allowed and {:.1} the limit, {:.0}% by proxies that were told",
                 reading.total,
                 reading.allowed,
-                limit(reading.allowed),
+                max_requests(reading.allowed),
                 100.0 * reading.notified / reading.total
             ),
         )
     }
 
     /// The origin has stopped.
-    pub fn stopped(&self, over: &Overdrawn) -> Finding {
-        if over.blamed <= 0.3 * over.sent || over.blamed <= 1.25 * over.due {
+    pub fn stopped(&self, over: &Overload) -> Finding {
+        if over.attributed <= 0.3 * over.sent || over.attributed <= 1.25 * over.expected {
             return Ok(());
         }
         broken(
@@ -274,8 +274,8 @@
                 "the origin stops: sent {:.0} ms of work where it could do {:.0}, {:.0} of it misses at cold workers that were due {:.0}",
                 over.sent / 1e3,
                 over.capacity / 1e3,
-                over.blamed / 1e3,
-                over.due / 1e3
+                over.attributed / 1e3,
+                over.expected / 1e3
             ),
         )
     }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -69,7 +69,7 @@
         let TextPosition { line, column } = TextPosition::of(text, e.span().map_or(0, |s| s.start));
         format!("{file}:{line}:{column}: {}", e.message().replace('\n', "; "))
     })?;
-    let problems = spec.check();
+    let problems = spec.validate();
     if problems.is_empty() {
         return Ok(spec);
     }
@@ -77,7 +77,7 @@
         .iter()
         .map(|p| {
             let TextPosition { line, column } = find(text, &p.path).unwrap_or(TextPosition::of(text, 0));
-            format!("{file}:{line}:{column}: {}: {}", p.path, p.why)
+            format!("{file}:{line}:{column}: {}: {}", p.path, p.reason)
         })
         .collect();
     Err(told.join("\n"))
@@ -121,7 +121,7 @@
     let spec: Spec =
         toml::from_str(&text).map_err(|e| format!("--set {told}: {}", e.message().replace('\n', "; ")))?;
     let problems: Vec<String> =
-        spec.check().iter().map(|p| format!("--set {told}: {}: {}", p.path, p.why)).collect();
+        spec.validate().iter().map(|p| format!("--set {told}: {}: {}", p.path, p.reason)).collect();
     if problems.is_empty() {
         Ok(spec)
     } else {
--- a/lab/src/search.rs
+++ b/lab/src/search.rs
@@ -28,16 +28,17 @@
     spec.load.shape = [Shape::Constant, Shape::Wave, Shape::Bursty][rng.random_range(0..3)];
     spec.load.swing = round(rng.random_range(0.0..0.5));
     spec.keys.zipf = round(rng.random_range(0.7..1.2));
-    spec.keys.hits = round(rng.random_range(0.8..0.97));
+    spec.keys.hit_rate = round(rng.random_range(0.8..0.97));
     spec.origin.headroom = round(rng.random_range(1.2..3.0));
     spec.origin.queue_s = round(rng.random_range(0.3..4.0));
-    spec.origin.drops_unwanted = rng.random();
+    spec.origin.drops_cancelled = rng.random();
     spec.backends.slots = rng.random_range(4..=24);
-    spec.backends.room = rng.random_range(1..=4);
-    spec.backends.cold_from = round(rng.random_range(spec.rules.cold_from..0.6)).max(spec.rules.cold_from);
-    spec.backends.cold_s = round(rng.random_range(3.0..spec.rules.cold_s));
+    spec.backends.queue_capacity = rng.random_range(1..=4);
+    spec.backends.initial_capacity_share = round(rng.random_range(spec.rules.initial_capacity_share..0.6))
+        .max(spec.rules.initial_capacity_share);
+    spec.backends.warmup_s = round(rng.random_range(3.0..spec.rules.warmup_s));
     spec.backends.error_rate = if rng.random() { 0.0 } else { round(rng.random_range(0.0..0.05)) };
-    spec.clients.impatient = round(rng.random_range(0.0..0.2));
+    spec.clients.early_leave_share = round(rng.random_range(0.0..0.2));
     spec.clients.retries = rng.random_range(0..=3);
     let sizes = (spec.backends.count, spec.proxies, spec.zones.len() as u32);
     spec.faults = random_schedule(spec.length_s, sizes, &mut rng);
@@ -134,7 +135,7 @@
 
 /// Whether a day still breaks this rule.
 fn breaks(spec: &Spec, policy: Kind, rule: Rule) -> Option<Breach> {
-    if !spec.check().is_empty() {
+    if !spec.validate().is_empty() {
         return None;
     }
     let day = play(spec, "shrinking", spec.seed, policy, false);
@@ -223,7 +224,7 @@
     }
     let usual = Spec::default();
     put(&|s| {
-        (s.clients.impatient, s.clients.retries) = (0.0, 0);
+        (s.clients.early_leave_share, s.clients.retries) = (0.0, 0);
     });
     put(&|s| s.load.swing = 0.0);
     put(&|s| s.backends.error_rate = 0.0);
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -2,14 +2,14 @@
 //!
 //! Each day starts many backends, alone or en masse, and draws its own settings of slow start. For each start and
 //! each span of the fall time the requests from proxies that had been notified of the start are counted, and the
-//! largest count is held against [`notchdoor_model::slow_start::limit`].
+//! largest count is held against [`notchdoor_model::slow_start::max_requests`].
 
 use crate::policy::Kind;
 use crate::record::SlowStartPeak;
 use crate::search::random_day;
 use crate::{experiment, play};
 use comfy_table::{presets, CellAlignment, Table};
-use notchdoor_model::faults::{Fault, Kind as FaultKind};
+use notchdoor_model::faults::{Fault, FaultKind};
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::{rng, Purpose};
 use rand::RngExt;
@@ -40,7 +40,7 @@
     if rng.random() {
         draw_settings(&mut spec, &mut rng);
     }
-    spec.discovery.add_s = hundredths(rng.random_range(0.0..1.2));
+    spec.discovery.add_delay_s = hundredths(rng.random_range(0.0..1.2));
     let starts = rng.random_range(1..=2);
     for _ in 0..starts {
         spec.faults.push(random_start(&spec, &mut rng));
@@ -52,20 +52,22 @@
 /// The settings of slow start. The backends themselves are never colder than these say.
 fn draw_settings(spec: &mut Spec, rng: &mut ChaCha8Rng) {
     let rules = &mut spec.rules;
-    rules.cold_from = hundredths(rng.random_range(0.1..0.5));
-    rules.cold_s = hundredths(rng.random_range(4.0..15.0));
-    rules.fall_multiple = hundredths(rng.random_range(2.0..6.0));
-    rules.fall_s = hundredths(rng.random_range(1.0..3.0));
-    spec.backends.cold_from = hundredths(rng.random_range(rules.cold_from..0.6)).max(rules.cold_from);
-    spec.backends.cold_s = hundredths(rng.random_range(0.5..1.0) * rules.cold_s);
+    rules.initial_capacity_share = hundredths(rng.random_range(0.1..0.5));
+    rules.warmup_s = hundredths(rng.random_range(4.0..15.0));
+    rules.overload_multiple = hundredths(rng.random_range(2.0..6.0));
+    rules.overload_window_s = hundredths(rng.random_range(1.0..3.0));
+    spec.backends.initial_capacity_share =
+        hundredths(rng.random_range(rules.initial_capacity_share..0.6)).max(rules.initial_capacity_share);
+    spec.backends.warmup_s = hundredths(rng.random_range(0.5..1.0) * rules.warmup_s);
 }
 
 /// A fault that starts up to six in ten of the backends.
 fn random_start(spec: &Spec, rng: &mut ChaCha8Rng) -> Fault {
-    let kinds = [FaultKind::Grow, FaultKind::KillWorkers, FaultKind::RestartWorkers, FaultKind::Readdress];
+    let kinds =
+        [FaultKind::Grow, FaultKind::KillBackends, FaultKind::RestartBackends, FaultKind::ReuseAddress];
     let kind = kinds[rng.random_range(0..kinds.len())];
     let at = hundredths(rng.random_range(0.05..0.5) * spec.length_s);
-    let length = if kind.lasts() { hundredths(rng.random_range(1.0..8.0)) } else { 0.0 };
+    let length = if kind.has_duration() { hundredths(rng.random_range(1.0..8.0)) } else { 0.0 };
     let most = (spec.backends.count * 6 / 10).max(1);
     let count = Some(f64::from(rng.random_range(1..=most)));
     let back_s = (kind != FaultKind::Grow).then(|| hundredths(rng.random_range(0.5..4.0)));
@@ -246,7 +248,7 @@
     let (share, sent) = row.largest.map_or_else(
         || ("-".to_owned(), "-".to_owned()),
         |l| {
-            let limit = notchdoor_model::slow_start::limit(l.peak.allowed);
+            let limit = notchdoor_model::slow_start::max_requests(l.peak.allowed);
             let sent = format!("{:.1} of {:.1}, {}", l.peak.notified, limit, l.seed);
             (format!("{:.3}", l.peak.share), sent)
         },
--- a/lab/tests/days.rs
+++ b/lab/tests/days.rs
@@ -62,17 +62,17 @@
 #[test]
 fn what_is_deliberately_broken_is_caught_and_shrinks() {
     let fault = |kind, at_s, length_s| Fault::new(kind, at_s, length_s);
-    let noise = [fault(faults::Kind::Scan, 3.0, 9.0), fault(faults::Kind::LateReports, 2.0, 12.0)];
-    let restart = Fault { count: Some(3.0), ..fault(faults::Kind::RestartWorkers, 5.0, 6.0) };
-    let kill = Fault { count: Some(2.0), ..fault(faults::Kind::KillWorkers, 4.0, 0.0) };
-    let stop = fault(faults::Kind::OriginStop, 6.0, 3.0);
+    let noise = [fault(faults::FaultKind::Scan, 3.0, 9.0), fault(faults::FaultKind::LateReports, 2.0, 12.0)];
+    let restart = Fault { count: Some(3.0), ..fault(faults::FaultKind::RestartBackends, 5.0, 6.0) };
+    let kill = Fault { count: Some(2.0), ..fault(faults::FaultKind::KillBackends, 4.0, 0.0) };
+    let stop = fault(faults::FaultKind::OriginStop, 6.0, 3.0);
     // the policy, the fault that brings it out, the rule that must be found broken, faults that may be left
     let cases = [
         ("broken-repeats", stop, vec![Rule::Repeats, Rule::RanTwice], 1),
         ("broken-forgets", kill.clone(), vec![Rule::OneAnswer], 0),
         ("broken-ignores-drains", restart, vec![Rule::Drain], 1),
         ("broken-stampedes", kill, vec![Rule::ColdWorker], 1),
-        ("broken-miscounts", fault(faults::Kind::Flush, 4.0, 0.0), vec![Rule::Counts], 0),
+        ("broken-miscounts", fault(faults::FaultKind::Flush, 4.0, 0.0), vec![Rule::Counts], 0),
     ];
     for (name, cause, rules, left) in cases {
         let spec = day(&[noise[0].clone(), cause, noise[1].clone()]);
@@ -103,11 +103,11 @@
     assert_eq!(told, Vec::<String>::new());
     assert_eq!(found.days, 60);
     let kinds = |seed| search::random_day(&base, seed).faults.iter().map(|f| f.kind).collect::<Vec<_>>();
-    let all: std::collections::BTreeSet<faults::Kind> = (1..=60).flat_map(kinds).collect();
-    assert!(all.len() > faults::Kind::ALL.len() / 2, "{all:?}");
+    let all: std::collections::BTreeSet<faults::FaultKind> = (1..=60).flat_map(kinds).collect();
+    assert!(all.len() > faults::FaultKind::ALL.len() / 2, "{all:?}");
     for seed in 1..=60 {
         let day = search::random_day(&base, seed);
-        assert_eq!(day.check(), [], "a random day is a good one, seed {seed}");
+        assert_eq!(day.validate(), [], "a random day is a good one, seed {seed}");
         assert_eq!(scenario::write(&day), scenario::write(&search::random_day(&base, seed)));
     }
     let budget = search::Budget { days: 60, time: None, first: true };
--- a/lab/tests/judgement.rs
+++ b/lab/tests/judgement.rs
@@ -8,8 +8,8 @@
 use notchdoor_lab::rules::{NotifiedList, Ran, Rule, Sent, Verifier};
 use notchdoor_lab::scenario;
 use notchdoor_lab::stats::{mean, paired_p};
-use notchdoor_model::discovery::{Line, Listed};
-use notchdoor_model::overload::Overdrawn;
+use notchdoor_model::discovery::{EndpointEntry, ListedState};
+use notchdoor_model::overload::Overload;
 
 const MS: u64 = 1_000;
 
@@ -48,8 +48,8 @@
     Verifier::new(settings, 1_000 * MS)
 }
 
-fn line(server: u32, zone: u32, state: Listed) -> Line {
-    Line { server, kind: 0, zone, cell: 0, size: 1.0, started: 0, state }
+fn line(server: u32, zone: u32, state: ListedState) -> EndpointEntry {
+    EndpointEntry { server, kind: 0, zone, cell: 0, size: 1.0, started: 0, state }
 }
 
 #[test]
@@ -57,7 +57,11 @@
     let mut told = NotifiedList::default();
     told.told(
         0,
-        &[line(1, 0, Listed::Serving), line(2, 1, Listed::Serving), line(3, 0, Listed::Serving)],
+        &[
+            line(1, 0, ListedState::Serving),
+            line(2, 1, ListedState::Serving),
+            line(3, 0, ListedState::Serving),
+        ],
         true,
     );
     let (safe, all, zone, once) = (Some(0), Some(1), Some(2), Some(3));
@@ -100,17 +104,17 @@
 #[test]
 fn drains_are_kept_from_when_they_were_told() {
     let mut told = NotifiedList::default();
-    told.told(0, &[line(1, 0, Listed::Serving), line(2, 0, Listed::Serving)], true);
-    told.told(5_000 * MS, &[line(1, 0, Listed::Draining)], false);
+    told.told(0, &[line(1, 0, ListedState::Serving), line(2, 0, ListedState::Serving)], true);
+    told.told(5_000 * MS, &[line(1, 0, ListedState::Draining)], false);
     // Told again, the first telling still counts; a list without a server says that it is gone.
-    told.told(5_800 * MS, &[line(1, 0, Listed::Gone)], false);
-    told.told(7_000 * MS, &[line(1, 0, Listed::Gone)], true);
+    told.told(5_800 * MS, &[line(1, 0, ListedState::Gone)], false);
+    told.told(7_000 * MS, &[line(1, 0, ListedState::Gone)], true);
     let may = |at: u64, server| verifier(true).may_send(at * MS, Some(0), &[], server, &told);
     assert!(may(6_000, 1).is_ok());
     assert!(matches!(may(6_001, 1), Err((Rule::Drain, _))));
     assert!(may(8_000, 2).is_ok() && matches!(may(8_001, 2), Err((Rule::Drain, _))));
     assert!(matches!(may(0, 9), Err((Rule::Unlisted, _))));
-    let again = Line { started: 9, ..line(1, 0, Listed::Serving) };
+    let again = EndpointEntry { started: 9, ..line(1, 0, ListedState::Serving) };
     told.told(9_000 * MS, &[again], false);
     assert!(verifier(true).may_send(20_000 * MS, Some(0), &[], 1, &told).is_ok(), "it serves again");
     assert!(told.knows_start(1, 9) && !told.knows_start(1, 0) && !told.knows_start(7, 0));
@@ -118,7 +122,7 @@
 
 #[test]
 fn cold_rules_blame_those_who_knew() {
-    let over = |sent, blamed, due| Overdrawn { sent, blamed, capacity: 1.0, due };
+    let over = |sent, blamed, due| Overload { sent, attributed: blamed, capacity: 1.0, expected: due };
     let r = verifier(true);
     assert!(r.fell(1, &over(9.0, 5.9, 0.0)).is_ok() && r.fell(1, &over(9.0, 6.0, 0.0)).is_err());
     assert!(r.stopped(&over(10.0, 3.0, 1.0)).is_ok(), "no more than three in ten were cold misses");
--- a/lab/tests/slow_start.rs
+++ b/lab/tests/slow_start.rs
@@ -5,7 +5,7 @@
 use notchdoor_lab::rules::{Rule, Verifier};
 use notchdoor_lab::slow_start::{measure, random_starts, Row, Sample};
 use notchdoor_lab::{facts, play, scenario};
-use notchdoor_model::slow_start::Reading;
+use notchdoor_model::slow_start::WindowLoad;
 use notchdoor_model::spec::Spec;
 
 fn sample(policy: &str, proxies: u32, first_seed: u64, days: u64) -> Row {
@@ -64,7 +64,7 @@
     assert_eq!(days[0], days[1]);
     for seed in 1..=200 {
         let day = random_starts(&Spec::default(), [4, 30, 300][seed as usize % 3], seed);
-        assert_eq!(day.check(), [], "seed {seed}");
+        assert_eq!(day.validate(), [], "seed {seed}");
     }
 }
 
@@ -75,7 +75,7 @@
     // What all sent and the notified among them, of 100 allowed, which is a limit of 122; whether that is a breach
     let cases = [(122.0, 122.0, false), (122.1, 122.1, true), (150.0, 99.0, false), (150.0, 100.0, true)];
     for (total, notified, broken) in cases {
-        let finding = verifier.slow_start(7, &Reading { total, notified, allowed: 100.0 });
+        let finding = verifier.slow_start(7, &WindowLoad { total, notified, allowed: 100.0 });
         assert_eq!(finding.is_err(), broken, "{total}, {notified}: {finding:?}");
         assert!(finding.is_ok() || matches!(finding, Err((Rule::ColdWorker, _))));
     }
--- a/load/src/arrivals.rs
+++ b/load/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! When requests are due, and what a record says of them. No clock: times are microseconds from the start.
 
-use notchdoor_model::clients::Demand;
-use notchdoor_model::memory::key_of;
+use notchdoor_model::cache::key_from_text;
+use notchdoor_model::clients::Workload;
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::{Time, S};
 use rand::{RngExt, SeedableRng};
@@ -83,7 +83,7 @@
                     told(format!("no class is called '{name}'; there are {}", classes.join(", ")))
                 })? as u32),
             };
-            let key = words.next().map(key_of);
+            let key = words.next().map(key_from_text);
             let line = Line { at: (at * S as f64) as Time, class, key };
             if lines.last().is_some_and(|before: &Line| before.at > line.at) {
                 return Err(told("is earlier than the line before".to_owned()));
@@ -111,7 +111,7 @@
 
     /// The times, one after another, until `until`.
     pub fn times(&self, spec: &Spec, seed: u64, until: Time) -> Times {
-        let demand = Demand::new(spec, spec.rate(), seed);
+        let demand = Workload::new(spec, spec.rate(), seed);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x00a7_71fa_15ee_d000);
         Times { arrivals: self.clone(), demand, rng, until, now: 0, n: 0 }
     }
@@ -121,7 +121,7 @@
 pub struct Times {
     arrivals: Arrivals,
     /// Of the scenario, for its own arrivals alone.
-    demand: Demand,
+    demand: Workload,
     rng: ChaCha8Rng,
     until: Time,
     now: Time,
@@ -150,7 +150,7 @@
         let arrivals = std::mem::take(&mut self.arrivals);
         let line = |at| Some(Line { at, class: None, key: None });
         let next = match &arrivals {
-            Arrivals::Scenario => line(self.demand.next(self.now)),
+            Arrivals::Scenario => line(self.demand.next_arrival(self.now)),
             // From the number, not from the one before: rounding must not add up.
             Arrivals::Constant(rate) => line(((self.n + 1) as f64 / rate * S as f64) as Time),
             Arrivals::Poisson(rate) => line(self.thinned(*rate, |_| *rate)),
--- a/load/src/client.rs
+++ b/load/src/client.rs
@@ -8,7 +8,7 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use hdrhistogram::Histogram;
 use notchdoor_lab::record::Recorder;
-use notchdoor_model::clients::{ClientBehaviour, Heard, Want};
+use notchdoor_model::clients::{AttemptResult, ClientBehaviour, ClientRequest};
 use notchdoor_model::spec::{Effect, Spec};
 use notchdoor_model::time::Time;
 use rand::SeedableRng;
@@ -126,7 +126,7 @@
     }
 
     /// A request is due: an order is begun, or voided where it is too late for that.
-    pub fn begin(self: &Rc<Self>, executor: &LocalExecutor<'static>, want: Want) {
+    pub fn begin(self: &Rc<Self>, executor: &LocalExecutor<'static>, want: ClientRequest) {
         let late = self.now().saturating_sub(want.since);
         let mut part = self.part.borrow_mut();
         part.late.saturating_record(late.max(1));
@@ -145,7 +145,7 @@
     }
 
     /// One request, with all its tries.
-    async fn order(&self, want: Want) {
+    async fn order(&self, want: ClientRequest) {
         let spec = &self.shared.spec;
         let class = &spec.classes[want.class as usize];
         let claim = self.part.borrow_mut().recorder.wanted(spec, &want);
@@ -154,7 +154,7 @@
         loop {
             let sent = self.now();
             let (due, leaves) = match &self.shared.manners {
-                Some(manners) => manners.patience(&want, sent, &mut self.rng.borrow_mut()),
+                Some(manners) => manners.attempt_timeout(&want, sent, &mut self.rng.borrow_mut()),
                 None => (want.until, None),
             };
             tries += 1;
@@ -165,24 +165,24 @@
             let now = self.now();
             self.shared.live.ended(want.class, heard, now - want.since);
             self.count(sent, |counts| match heard {
-                Heard::Refused(_) => counts.refused += 1,
-                Heard::Failed => counts.failed += 1,
-                Heard::Nothing => counts.left += 1,
-                Heard::Unreachable => counts.unreachable += 1,
-                Heard::Served => {}
+                AttemptResult::Rejected(_) => counts.refused += 1,
+                AttemptResult::Failed => counts.failed += 1,
+                AttemptResult::TimedOut => counts.left += 1,
+                AttemptResult::Unreachable => counts.unreachable += 1,
+                AttemptResult::Answered => {}
             });
-            if heard == Heard::Served {
+            if heard == AttemptResult::Answered {
                 return self.part.borrow_mut().recorder.served(spec, claim, now - want.since);
             }
-            if matches!(heard, Heard::Failed | Heard::Nothing) {
+            if matches!(heard, AttemptResult::Failed | AttemptResult::TimedOut) {
                 risked.get_or_insert(sent);
             }
             let again = self.shared.manners.as_ref().and_then(|manners| {
                 let effect: Effect = class.effect();
-                manners.again(&want, effect, (heard, tries), risked, now, &mut self.rng.borrow_mut())
+                manners.retry_at(&want, effect, (heard, tries), risked, now, &mut self.rng.borrow_mut())
             });
             let Some(at) = again else {
-                let late = now > want.since + (class.aim_ms * 1e3) as Time;
+                let late = now > want.since + (class.latency_objective_ms * 1e3) as Time;
                 return self.part.borrow_mut().recorder.lost(claim, late);
             };
             self.until(at).await;
@@ -202,11 +202,11 @@
     /// One try: sent at `sent`, given up by its client at `until`, and told to be wanted until `due`.
     async fn attempt(
         &self,
-        want: &Want,
+        want: &ClientRequest,
         (sent, due, until): (Time, Time, Time),
         once: &str,
         again: bool,
-    ) -> Heard {
+    ) -> AttemptResult {
         let spec = &self.shared.spec;
         let class = &spec.classes[want.class as usize];
         let (id, key) = (format!("{:016x}", self.id()), format!("{:016x}", want.key));
@@ -216,18 +216,18 @@
             tenant: &spec.tenants[want.tenant as usize].name,
             key: &key,
             value: want.write.then_some(&self.shared.value[..]),
-            once: matches!(class.effect(), Effect::Keyed { .. }).then_some(once),
+            once: matches!(class.effect(), Effect::Deduplicated { .. }).then_some(once),
             wait_ms: ((due - sent) / 1000).max(1),
             again,
         };
         let waits = async {
             self.until(until).await;
-            Heard::Nothing
+            AttemptResult::TimedOut
         };
         future::or(self.exchanged(want, &ask), waits).await
     }
 
-    async fn exchanged(&self, want: &Want, ask: &Ask<'_>) -> Heard {
+    async fn exchanged(&self, want: &ClientRequest, ask: &Ask<'_>) -> AttemptResult {
         let pool = &self.pools[want.zone as usize % self.pools.len()];
         // Whoever waits here waits in order; the time counts, as it would for a client that has no connection.
         let _place = pool.places.acquire().await;
@@ -238,7 +238,7 @@
                 Some(connection) => connection,
                 None => {
                     let Ok(stream) = Async::<TcpStream>::connect(pool.address).await else {
-                        return Heard::Unreachable;
+                        return AttemptResult::Unreachable;
                     };
                     let _ = stream.get_ref().set_nodelay(true);
                     self.part.borrow_mut().opened += 1;
@@ -255,16 +255,16 @@
                     connection.used = true;
                     pool.idle.borrow_mut().push(connection);
                     return match answer {
-                        Answer::Served(_) => Heard::Served,
-                        Answer::Refused(ms) => Heard::Refused(ms.unwrap_or(0).saturating_mul(1000)),
-                        Answer::Failed => Heard::Failed,
+                        Answer::Served(_) => AttemptResult::Answered,
+                        Answer::Refused(ms) => AttemptResult::Rejected(ms.unwrap_or(0).saturating_mul(1000)),
+                        Answer::Failed => AttemptResult::Failed,
                     };
                 }
                 Exchange::Broke(false) if connection.used => {}
-                Exchange::Broke(_) => return Heard::Failed,
+                Exchange::Broke(_) => return AttemptResult::Failed,
             }
         }
-        Heard::Failed
+        AttemptResult::Failed
     }
 }
 
--- a/load/src/live.rs
+++ b/load/src/live.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 use indicatif::{MultiProgress, ProgressBar, ProgressDrawTarget, ProgressStyle};
-use notchdoor_model::clients::Heard;
+use notchdoor_model::clients::AttemptResult;
 use std::sync::Mutex;
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 /// Ends, in the order of [`OfClass::ends`].
 const ENDS: [&str; 5] = ["served", "refused", "failed", "unanswered", "unreachable"];
 
-fn place(heard: Heard) -> usize {
+fn place(heard: AttemptResult) -> usize {
     match heard {
-        Heard::Served => 0,
-        Heard::Refused(_) => 1,
-        Heard::Failed => 2,
-        Heard::Nothing => 3,
-        Heard::Unreachable => 4,
+        AttemptResult::Answered => 0,
+        AttemptResult::Rejected(_) => 1,
+        AttemptResult::Failed => 2,
+        AttemptResult::TimedOut => 3,
+        AttemptResult::Unreachable => 4,
     }
 }
 
@@ -48,10 +48,10 @@
     }
 
     /// One has ended, so many microseconds after it was due.
-    pub fn ended(&self, class: u32, heard: Heard, latency: u64) {
+    pub fn ended(&self, class: u32, heard: AttemptResult, latency: u64) {
         self.with(class, |c| {
             c.ends[place(heard)] += 1;
-            if heard == Heard::Served {
+            if heard == AttemptResult::Answered {
                 c.latency.saturating_record(latency.max(1));
             }
         });
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use notchdoor_lab::record::{Day, Recorder};
-use notchdoor_model::clients::{ClientBehaviour, Demand};
+use notchdoor_model::clients::{ClientBehaviour, Workload};
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::{secs, Time};
 use serde::Serialize;
@@ -171,9 +171,9 @@
     let executor = LocalExecutor::new();
     let longest = spec.classes.iter().map(|c| secs(c.deadline_ms / 1e3)).max().unwrap_or(0);
     future::block_on(executor.run(async {
-        let mut demand = Demand::new(spec, spec.rate(), shared.seed);
+        let mut demand = Workload::new(spec, spec.rate(), shared.seed);
         for (n, line) in arrivals.times(spec, shared.seed, until).enumerate() {
-            let mut want = demand.draw(line.at);
+            let mut want = demand.generate(line.at);
             if let Some(class) = line.class {
                 let deadline = secs(spec.classes[class as usize].deadline_ms / 1e3);
                 (want.class, want.write) = (class, spec.classes[class as usize].write);
--- a/model/src/backend.rs
+++ b/model/src/backend.rs
@@ -1,9 +1,9 @@
 //! A cache backend: a station with a memory, cold after a start, that may drain, die or fall over.
 
-use crate::memory::{Evict, Key, Memory, Truth};
-use crate::overload::{Budget, Overdrawn};
+use crate::cache::{Cache, EvictionPolicy, Key, Validity};
+use crate::overload::{Overload, OverloadDetector};
 use crate::report::Reporter;
-use crate::station::{self, Finished, Job, Offer, Station};
+use crate::station::{self, Finished, Job, Station};
 use crate::time::{Time, MS};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -14,68 +14,70 @@
 #[serde(rename_all = "kebab-case")]
 pub enum OnCancel {
     /// It is done all the same.
-    GoesOn,
+    #[serde(rename = "goes-on")]
+    Continue,
     /// It is dropped while it waits, and done once it is in work.
-    DropsWaiting,
+    #[serde(rename = "drops-waiting")]
+    DropWaiting,
 }
 
 /// How a backend chokes on its load: what waits for too long slows it down, and it stays slow until it has rested.
 #[derive(Clone, Copy, Debug)]
-pub struct Choke {
+pub struct Degradation {
     /// Requests held, for each core, beyond which it does.
-    pub at: f64,
+    pub in_flight_per_core: f64,
     /// For so long.
-    pub over: Time,
+    pub after: Time,
     /// So many times slower it is from then on.
-    pub slower: f64,
+    pub slowdown: f64,
     /// It recovers once no more than this share of its cores has been in use,
-    pub below: f64,
+    pub recovery_utilization: f64,
     /// for so long,
-    pub rest: Time,
+    pub recovery_time: Time,
     /// or after so long in any case.
-    pub most: Time,
+    pub max_duration: Time,
 }
 
 /// Where a backend stands with its choking.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Load {
+enum Health {
     /// It holds no more than it bears.
-    Well,
+    Normal,
     /// It has held too much since then.
-    Over(Time),
+    Strained(Time),
     /// It has been choked since then, and at rest since then, if it is.
-    Choked(Time, Option<Time>),
+    Degraded(Time, Option<Time>),
 }
 
 /// The figures of a backend.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct Config {
     /// Cores, slots, waiting room, crowding.
-    pub station: station::Figures,
+    pub station: station::Config,
     /// Work that a core does in a microsecond when warm and left alone.
     pub speed: f64,
     /// The share of its capacity at which it starts.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// The time over which its capacity rises to the full.
-    pub cold: Time,
+    pub warmup: Time,
     /// Sent more than this many times what it can do while cold, over `fall_time`, it falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The time over which that is counted.
-    pub fall_time: Time,
+    pub overload_window: Time,
     /// Units of room for copies.
-    pub memory: u64,
+    pub cache: u64,
     /// Which copy is dropped first.
-    pub evict: Evict,
+    pub eviction: EvictionPolicy,
     /// The share of answers that are errors.
     pub error_rate: f64,
     /// What becomes of work that nobody waits for.
     pub on_cancel: OnCancel,
     /// The most connections that it holds.
-    pub connections: u32,
+    pub max_connections: u32,
     /// The share of its capacity that a full table of connections takes.
-    pub full_tax: f64,
+    pub max_connection_overhead: f64,
     /// How it chokes, if it does.
-    pub choke: Option<Choke>,
+    pub degradation: Option<Degradation>,
 }
 
 /// Whether the process runs.
@@ -91,54 +93,58 @@
 
 /// What became of a request that reached a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// It is being worked on; [`Backend::advance`] tells when it is done.
-    InWork,
+    Accepted,
     /// Nothing is kept for its key.
     Miss,
     /// Turned away.
     Full,
     /// The backend falls over under it: it was cold, and was sent too much. The host has to kill it.
-    Falls(Overdrawn),
+    Overloaded(Overload),
 }
 
 /// How often a cold backend's pace is set anew while it works.
-const WARM_STEP: Time = 50 * MS;
+const WARMUP_STEP: Time = 50 * MS;
 /// Work that the first request on a new connection costs beside its own is part of what a cold backend is sent.
-const CHANCE: f64 = 4.0;
+const SLACK_REQUESTS: f64 = 4.0;
 
 /// One cache backend.
 pub struct Backend {
-    figures: Figures,
+    config: Config,
     state: State,
-    started: Time,
+    started_at: Time,
     /// The share of the machine that another program has now.
-    stolen: f64,
+    stolen_cpu_share: f64,
     station: Station,
-    memory: Memory,
-    budget: Budget,
+    cache: Cache,
+    overload: OverloadDetector,
     connections: u32,
-    load: Load,
-    warm_at: Time,
+    health: Health,
+    next_speed_update: Time,
     /// What it says of its load.
     pub reporter: Reporter,
 }
 
 impl Backend {
     /// A backend that has run for long: warm, and empty until it is filled.
-    pub fn new(figures: Figures, reporter: Reporter, mean_work: f64) -> Self {
-        let budget = Budget::new(figures.fall_time, figures.fall_multiple, CHANCE * mean_work);
+    pub fn new(config: Config, reporter: Reporter, mean_work: f64) -> Self {
+        let overload = OverloadDetector::new(
+            config.overload_window,
+            config.overload_multiple,
+            SLACK_REQUESTS * mean_work,
+        );
         Backend {
-            station: Station::new(figures.station, figures.speed, 0),
-            memory: Memory::new(figures.memory, figures.evict),
-            figures,
+            station: Station::new(config.station, config.speed, 0),
+            cache: Cache::new(config.cache, config.eviction),
+            config,
             state: State::Up,
-            started: 0,
-            stolen: 0.0,
-            budget,
+            started_at: 0,
+            stolen_cpu_share: 0.0,
+            overload,
             connections: 0,
-            load: Load::Well,
-            warm_at: 0,
+            health: Health::Normal,
+            next_speed_update: 0,
             reporter,
         }
     }
@@ -149,8 +155,8 @@
     }
 
     /// When it last started; 0 for long ago.
-    pub fn started(&self) -> Time {
-        self.started
+    pub fn started_at(&self) -> Time {
+        self.started_at
     }
 
     /// Its station, to look at.
@@ -159,138 +165,161 @@
     }
 
     /// Its memory, to look at.
-    pub fn memory(&self) -> &Memory {
-        &self.memory
+    pub fn cache(&self) -> &Cache {
+        &self.cache
     }
 
     /// The share of its capacity that it has because it started so long ago.
-    pub fn warmth(&self, now: Time) -> f64 {
-        let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= self.figures.cold {
+    pub fn capacity_share(&self, now: Time) -> f64 {
+        let age = now.saturating_sub(self.started_at);
+        if self.started_at == 0 || age >= self.config.warmup {
             return 1.0;
         }
-        self.figures.cold_from + (1.0 - self.figures.cold_from) * age as f64 / self.figures.cold as f64
+        self.config.initial_capacity_share
+            + (1.0 - self.config.initial_capacity_share) * age as f64 / self.config.warmup as f64
     }
 
     /// Work that it can do in a microsecond, on all cores.
     pub fn capacity(&self, now: Time) -> f64 {
-        self.pace(now) * self.figures.station.cores
+        self.current_speed(now) * self.config.station.cores
     }
 
     /// Work that it can do in a microsecond when warm and left alone.
     pub fn full_capacity(&self) -> f64 {
-        self.figures.speed * self.figures.station.cores
+        self.config.speed * self.config.station.cores
     }
 
-    fn pace(&self, now: Time) -> f64 {
-        let table = 1.0
-            - self.figures.full_tax * f64::from(self.connections)
-                / f64::from(self.figures.connections.max(1));
-        let choked = match (self.load, self.figures.choke) {
-            (Load::Choked(..), Some(choke)) => choke.slower,
+    fn current_speed(&self, now: Time) -> f64 {
+        let connection_factor = 1.0
+            - self.config.max_connection_overhead * f64::from(self.connections)
+                / f64::from(self.config.max_connections.max(1));
+        let slowdown = match (self.health, self.config.degradation) {
+            (Health::Degraded(..), Some(degradation)) => degradation.slowdown,
             _ => 1.0,
         };
-        self.figures.speed * self.warmth(now) * (1.0 - self.stolen) * table.max(0.0) / choked
+        self.config.speed
+            * self.capacity_share(now)
+            * (1.0 - self.stolen_cpu_share)
+            * connection_factor.max(0.0)
+            / slowdown
     }
 
     /// When it wants to be advanced next.
     pub fn wake_at(&mut self) -> Option<Time> {
         let done = self.station.wake_at()?;
-        Some(if self.started > 0 && self.warm_at <= done { self.warm_at } else { done })
+        Some(if self.started_at > 0 && self.next_speed_update <= done {
+            self.next_speed_update
+        } else {
+            done
+        })
     }
 
     /// Passes time up to `now` and appends what was done. Set paces follow at every step of its warming.
     pub fn advance(&mut self, now: Time, done: &mut Vec<Finished>) {
         self.station.advance(now, done);
-        self.mind_load(now);
-        if now >= self.warm_at {
-            self.station.set_pace(self.pace(now));
-            let warm = self.warmth(now) >= 1.0;
-            self.warm_at = if warm { Time::MAX } else { now + WARM_STEP };
+        self.update_health(now);
+        if now >= self.next_speed_update {
+            self.station.set_speed(self.current_speed(now));
+            let is_warm = self.capacity_share(now) >= 1.0;
+            self.next_speed_update = if is_warm { Time::MAX } else { now + WARMUP_STEP };
         }
     }
 
     /// Whether it has held too much for too long, or rested long enough, since it was last looked at.
-    fn mind_load(&mut self, now: Time) {
-        let Some(choke) = self.figures.choke else { return };
-        let cores = self.figures.station.cores;
-        let over = self.station.held() as f64 > choke.at * cores;
-        let rests = self.station.in_work() as f64 <= choke.below * cores;
-        let next = match self.load {
-            Load::Well if over => Load::Over(now),
-            Load::Over(since) if over && now >= since + choke.over => Load::Choked(now, None),
-            Load::Over(_) if !over => Load::Well,
-            Load::Choked(since, _) if now >= since + choke.most => Load::Well,
-            Load::Choked(_, Some(rest)) if rests && now >= rest + choke.rest => Load::Well,
-            Load::Choked(since, None) if rests => Load::Choked(since, Some(now)),
-            Load::Choked(since, Some(_)) if !rests => Load::Choked(since, None),
+    fn update_health(&mut self, now: Time) {
+        let Some(degradation) = self.config.degradation else { return };
+        let cores = self.config.station.cores;
+        let strained = self.station.in_flight() as f64 > degradation.in_flight_per_core * cores;
+        let is_idle = self.station.running() as f64 <= degradation.recovery_utilization * cores;
+        let next = match self.health {
+            Health::Normal if strained => Health::Strained(now),
+            Health::Strained(since) if strained && now >= since + degradation.after => {
+                Health::Degraded(now, None)
+            }
+            Health::Strained(_) if !strained => Health::Normal,
+            Health::Degraded(since, _) if now >= since + degradation.max_duration => Health::Normal,
+            Health::Degraded(_, Some(idle_since))
+                if is_idle && now >= idle_since + degradation.recovery_time =>
+            {
+                Health::Normal
+            }
+            Health::Degraded(since, None) if is_idle => Health::Degraded(since, Some(now)),
+            Health::Degraded(since, Some(_)) if !is_idle => Health::Degraded(since, None),
             same => same,
         };
-        let changed = matches!(next, Load::Choked(..)) != matches!(self.load, Load::Choked(..));
-        self.load = next;
+        let changed = matches!(next, Health::Degraded(..)) != matches!(self.health, Health::Degraded(..));
+        self.health = next;
         if changed {
-            self.station.set_pace(self.pace(now));
+            self.station.set_speed(self.current_speed(now));
         }
     }
 
     /// Whether it is slow for what it held.
-    pub fn is_choked(&self) -> bool {
-        matches!(self.load, Load::Choked(..))
+    pub fn is_degraded(&self) -> bool {
+        matches!(self.health, Health::Degraded(..))
     }
 
     /// Whether an answer that is due now is an error instead; counted in the load report.
-    pub fn answers_error(&mut self, now: Time, rng: &mut ChaCha8Rng) -> bool {
-        let error = self.figures.error_rate > 0.0 && rng.random::<f64>() < self.figures.error_rate;
-        self.reporter.count(now, error, self.station.busy(), rng);
+    pub fn complete_request(&mut self, now: Time, rng: &mut ChaCha8Rng) -> bool {
+        let error = self.config.error_rate > 0.0 && rng.random::<f64>() < self.config.error_rate;
+        self.reporter.record_request(now, error, self.station.utilization(), rng);
         error
     }
 
     /// A read has come whole: its key, its work in microseconds of a standard core (a new connection's
     /// included), and whether its sender had been told of this backend's latest start. Advance to `now` first.
-    pub fn offer(&mut self, now: Time, job: Job, key: Key, work: f64, told: bool, truth: &Truth) -> Taken {
+    pub fn offer(
+        &mut self,
+        now: Time,
+        job: Job,
+        key: Key,
+        work: f64,
+        notified: bool,
+        validity: &Validity,
+    ) -> Admission {
         debug_assert!(self.state != State::Down, "offered to a process that does not run");
-        if self.started > 0 && self.warmth(now) < 1.0 {
-            let blamed = if told { work } else { 0.0 };
-            let overdrawn = self.budget.sent(now, self.capacity(now), work, blamed, 0.0);
-            if let Some(overdrawn) = overdrawn {
-                return Taken::Falls(overdrawn);
+        if self.started_at > 0 && self.capacity_share(now) < 1.0 {
+            let attributed = if notified { work } else { 0.0 };
+            let overload = self.overload.record(now, self.capacity(now), work, attributed, 0.0);
+            if let Some(overload) = overload {
+                return Admission::Overloaded(overload);
             }
         }
         if self.state == State::Draining {
-            return Taken::Full;
+            return Admission::Full;
         }
         // The waiting room is looked at before the key: a full backend turns requests away unseen.
-        if self.station.held() >= self.station.bound() {
+        if self.station.in_flight() >= self.station.max_in_flight() {
             let refused = self.station.offer(now, job, work);
-            debug_assert!(refused == Offer::Full);
-            return Taken::Full;
+            debug_assert!(refused == station::Admission::Full);
+            return Admission::Full;
         }
-        if !self.memory.holds(now, key, truth) {
-            return Taken::Miss;
+        if !self.cache.lookup(now, key, validity) {
+            return Admission::Miss;
         }
         match self.station.offer(now, job, work) {
-            Offer::Taken => Taken::InWork,
-            Offer::Full => Taken::Full,
+            station::Admission::Accepted => Admission::Accepted,
+            station::Admission::Full => Admission::Full,
         }
     }
 
     /// Nobody waits for this request any more.
     pub fn cancel(&mut self, now: Time, job: Job) -> bool {
-        self.figures.on_cancel == OnCancel::DropsWaiting && self.station.drop_job(now, job, false)
+        self.config.on_cancel == OnCancel::DropWaiting && self.station.cancel(now, job, false)
     }
 
     /// The origin has answered for a request that missed here.
-    pub fn store(&mut self, key: Key, made: Time, room: u32) {
+    pub fn store(&mut self, key: Key, created_at: Time, size: u32) {
         if self.state == State::Up {
-            self.memory.store(key, made, room);
+            self.cache.store(key, created_at, size);
         }
     }
 
     /// One more or one fewer connection. False if the table is full.
-    pub fn connect(&mut self, more: bool) -> bool {
-        if !more {
+    pub fn connect(&mut self, opened: bool) -> bool {
+        if !opened {
             self.connections = self.connections.saturating_sub(1);
-        } else if self.connections >= self.figures.connections {
+        } else if self.connections >= self.config.max_connections {
             return false;
         } else {
             self.connections += 1;
@@ -299,9 +328,9 @@
     }
 
     /// Another program takes this share of the machine from now on. Advance to `now` first.
-    pub fn steal(&mut self, now: Time, share: f64) {
-        self.stolen = share.clamp(0.0, 1.0);
-        self.station.set_pace(self.pace(now));
+    pub fn set_stolen_cpu_share(&mut self, now: Time, share: f64) {
+        self.stolen_cpu_share = share.clamp(0.0, 1.0);
+        self.station.set_speed(self.current_speed(now));
     }
 
     /// It is asked to end: it finishes what it has.
@@ -315,17 +344,17 @@
     pub fn kill(&mut self, now: Time) -> Vec<Job> {
         self.state = State::Down;
         self.connections = 0;
-        self.memory.clear();
+        self.cache.clear();
         self.station.clear(now)
     }
 
     /// The process starts: cold and empty.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
-        self.load = Load::Well;
-        self.started = now.max(1);
-        self.budget.clear();
-        self.warm_at = now;
-        self.station.set_pace(self.pace(now));
+        self.health = Health::Normal;
+        self.started_at = now.max(1);
+        self.overload.clear();
+        self.next_speed_update = now;
+        self.station.set_speed(self.current_speed(now));
     }
 }
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -5,7 +5,7 @@
 //! Nothing here knows the decision module.
 //!
 //! - [`station`]: cores shared by the requests in work, with a waiting room; a backend's and the origin's heart.
-//! - [`memory`]: what a backend keeps, and which kept copies are void.
+//! - [`cache`]: what a backend keeps, and which kept copies are void.
 //! - [`overload`]: whether more was sent, over a window of time, than could be borne. [`slow_start`]: what the
 //!   settings allow a warming backend.
 //! - [`backend`] and [`origin`]: the machines. [`report`]: what they tell of their load, late and noisily.
@@ -19,11 +19,11 @@
 #![deny(missing_docs)]
 
 pub mod backend;
+pub mod cache;
 pub mod clients;
 pub mod discovery;
 pub mod faults;
 pub mod front;
-pub mod memory;
 pub mod network;
 pub mod origin;
 pub mod overload;
--- a/model/src/network.rs
+++ b/model/src/network.rs
@@ -8,51 +8,61 @@
 
 /// Delays between zones, and which links are cut.
 pub struct Network {
-    same: Time,
-    cross: Vec<Vec<Time>>,
+    delay_within_zone: Time,
+    delays: Vec<Vec<Time>>,
     jitter: f64,
-    cut: BTreeSet<(u32, u32)>,
+    cut_links: BTreeSet<(u32, u32)>,
 }
 
 impl Network {
     /// Zones with these one-way delays: within one, and between each two (drawn from the range).
-    pub fn new(zones: u32, same: Time, cross: (Time, Time), jitter: f64, rng: &mut ChaCha8Rng) -> Self {
+    pub fn new(
+        zones: u32,
+        delay_within_zone: Time,
+        cross_range: (Time, Time),
+        jitter: f64,
+        rng: &mut ChaCha8Rng,
+    ) -> Self {
         let n = zones as usize;
-        let mut delays = vec![vec![same; n]; n];
+        let mut delays = vec![vec![delay_within_zone; n]; n];
         for (a, b) in (0..n).flat_map(|a| (a + 1..n).map(move |b| (a, b))) {
-            let delay = rng.random_range(cross.0..=cross.1.max(cross.0));
+            let delay = rng.random_range(cross_range.0..=cross_range.1.max(cross_range.0));
             delays[a][b] = delay;
             delays[b][a] = delay;
         }
-        Network { same, cross: delays, jitter, cut: BTreeSet::new() }
+        Network { delay_within_zone, delays, jitter, cut_links: BTreeSet::new() }
     }
 
     /// Cuts a zone off from all others, or heals it.
-    pub fn cut_zone(&mut self, zone: u32, cut: bool) {
-        for other in (0..self.cross.len() as u32).filter(|&o| o != zone) {
+    pub fn set_zone_isolated(&mut self, zone: u32, isolated: bool) {
+        for other in (0..self.delays.len() as u32).filter(|&o| o != zone) {
             let link = (zone.min(other), zone.max(other));
-            if cut {
-                self.cut.insert(link);
+            if isolated {
+                self.cut_links.insert(link);
             } else {
-                self.cut.remove(&link);
+                self.cut_links.remove(&link);
             }
         }
     }
 
     /// Whether what is sent from one zone to another arrives.
-    pub fn linked(&self, a: u32, b: u32) -> bool {
-        a == b || !self.cut.contains(&(a.min(b), a.max(b)))
+    pub fn is_reachable(&self, a: u32, b: u32) -> bool {
+        a == b || !self.cut_links.contains(&(a.min(b), a.max(b)))
     }
 
     /// The usual one-way delay.
-    pub fn usual(&self, a: u32, b: u32) -> Time {
-        self.cross.get(a as usize).and_then(|row| row.get(b as usize)).copied().unwrap_or(self.same)
+    pub fn base_delay(&self, a: u32, b: u32) -> Time {
+        self.delays
+            .get(a as usize)
+            .and_then(|row| row.get(b as usize))
+            .copied()
+            .unwrap_or(self.delay_within_zone)
     }
 
     /// The one-way delay of one message.
     pub fn delay(&self, a: u32, b: u32, rng: &mut ChaCha8Rng) -> Time {
-        let usual = self.usual(a, b) as f64;
-        (usual * (1.0 + self.jitter * rng.random::<f64>())) as Time
+        let base_delay = self.base_delay(a, b) as f64;
+        (base_delay * (1.0 + self.jitter * rng.random::<f64>())) as Time
     }
 }
 
@@ -60,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
     /// One with room is open.
-    Open,
+    Reused,
     /// A new one has to be opened.
     New,
 }
@@ -69,56 +79,60 @@
 struct Pool {
     open: u32,
     busy: u32,
-    used: Time,
+    last_used: Time,
 }
 
 /// The pooled connections of proxies to servers. Each carries so many requests at a time; one that nothing
 /// was sent on for the idle time is closed by the server.
 pub struct Connections {
-    streams: u32,
-    idle: Time,
+    streams_per_connection: u32,
+    idle_timeout: Time,
     pools: FxHashMap<(u32, u32), Pool>,
 }
 
 impl Connections {
     /// Connections that carry `streams` requests each and close after `idle`.
-    pub fn new(streams: u32, idle: Time) -> Self {
-        Connections { streams: streams.max(1), idle, pools: FxHashMap::default() }
+    pub fn new(streams_per_connection: u32, idle_timeout: Time) -> Self {
+        Connections {
+            streams_per_connection: streams_per_connection.max(1),
+            idle_timeout,
+            pools: FxHashMap::default(),
+        }
     }
 
     /// A request takes its place on a connection. Says whether that is a new one, and how many were found
     /// closed by the server for idleness.
-    pub fn take(&mut self, now: Time, proxy: u32, machine: u32) -> (Connection, u32) {
-        let pool = self.pools.entry((proxy, machine)).or_default();
+    pub fn acquire(&mut self, now: Time, proxy: u32, server: u32) -> (Connection, u32) {
+        let pool = self.pools.entry((proxy, server)).or_default();
         let mut closed = 0;
-        if pool.busy == 0 && pool.open > 0 && now.saturating_sub(pool.used) >= self.idle {
+        if pool.busy == 0 && pool.open > 0 && now.saturating_sub(pool.last_used) >= self.idle_timeout {
             closed = std::mem::take(&mut pool.open);
         }
         pool.busy += 1;
-        pool.used = now;
-        if pool.busy <= pool.open.saturating_mul(self.streams) {
-            return (Connection::Open, closed);
+        pool.last_used = now;
+        if pool.busy <= pool.open.saturating_mul(self.streams_per_connection) {
+            return (Connection::Reused, closed);
         }
         pool.open += 1;
         (Connection::New, closed)
     }
 
     /// A request's place is free again; `closed` if its connection was given up with it.
-    pub fn give_back(&mut self, now: Time, proxy: u32, machine: u32, closed: bool) {
-        if let Some(pool) = self.pools.get_mut(&(proxy, machine)) {
+    pub fn release(&mut self, now: Time, proxy: u32, server: u32, closed: bool) {
+        if let Some(pool) = self.pools.get_mut(&(proxy, server)) {
             pool.busy = pool.busy.saturating_sub(1);
             pool.open -= u32::from(closed && pool.open > 0);
-            pool.used = now;
+            pool.last_used = now;
         }
     }
 
     /// A server's process has ended: all connections to it are gone.
-    pub fn drop_machine(&mut self, machine: u32) {
-        self.pools.retain(|(_, m), _| *m != machine);
+    pub fn close_server(&mut self, server: u32) {
+        self.pools.retain(|(_, m), _| *m != server);
     }
 
     /// A proxy's process has ended. Gives back the machines that lost connections, and how many each, in order.
-    pub fn drop_proxy(&mut self, proxy: u32) -> Vec<(u32, u32)> {
+    pub fn close_proxy(&mut self, proxy: u32) -> Vec<(u32, u32)> {
         let mut lost: Vec<(u32, u32)> = Vec::new();
         self.pools.retain(|(p, m), pool| {
             if *p == proxy {
@@ -131,8 +145,8 @@
     }
 
     /// Requests on connections of this proxy to this machine.
-    pub fn busy(&self, proxy: u32, machine: u32) -> u32 {
-        self.pools.get(&(proxy, machine)).map_or(0, |p| p.busy)
+    pub fn busy(&self, proxy: u32, server: u32) -> u32 {
+        self.pools.get(&(proxy, server)).map_or(0, |p| p.busy)
     }
 
     /// Pools kept.
@@ -143,24 +157,24 @@
 
 /// Machines that say nothing while they are cut off, and until when.
 #[derive(Default)]
-pub struct Silence {
+pub struct SilentMachines {
     until: FxHashMap<u32, Time>,
 }
 
-impl Silence {
+impl SilentMachines {
     /// The machine is silent until `until`.
-    pub fn begin(&mut self, machine: u32, until: Time) {
-        let entry = self.until.entry(machine).or_insert(0);
+    pub fn begin(&mut self, server: u32, until: Time) {
+        let entry = self.until.entry(server).or_insert(0);
         *entry = (*entry).max(until);
     }
 
     /// The machine can be heard again.
-    pub fn end(&mut self, machine: u32) {
-        self.until.remove(&machine);
+    pub fn end(&mut self, server: u32) {
+        self.until.remove(&server);
     }
 
     /// Whether the machine is silent.
-    pub fn is_silent(&self, machine: u32, now: Time) -> bool {
-        self.until.get(&machine).copied().unwrap_or(0) > now
+    pub fn is_silent(&self, server: u32, now: Time) -> bool {
+        self.until.get(&server).copied().unwrap_or(0) > now
     }
 }
--- a/model/src/origin.rs
+++ b/model/src/origin.rs
@@ -1,68 +1,72 @@
 //! The origin: slow, with a bounded queue, and stopped for seconds when it is sent far more than it can do.
 
-use crate::overload::{Budget, Overdrawn};
-use crate::station::{self, Finished, Job, Offer, Station};
+use crate::overload::{Overload, OverloadDetector};
+use crate::station::{self, Finished, Job, Station};
 use crate::time::Time;
 
 /// The figures of the origin.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct Config {
     /// Cores, slots, queue, crowding.
-    pub station: station::Figures,
+    pub station: station::Config,
     /// Sent more than this many times its capacity over `fall_time`, it stops.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The time over which that is counted.
-    pub fall_time: Time,
+    pub overload_window: Time,
     /// How long it stays down.
-    pub down: Time,
+    pub outage: Time,
     /// How often in a day it stops at most.
-    pub most_stops: u32,
+    pub max_stops: u32,
     /// Whether waiting work that nobody waits for is dropped.
-    pub drops_unwanted: bool,
+    pub drops_cancelled: bool,
 }
 
 /// What became of a fetch or a write that reached the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// It is being worked on or waits.
-    InWork,
+    Accepted,
     /// Turned away; it never ran.
     Full,
     /// The origin stops under it. The host has to stop it.
-    Stops(Overdrawn),
+    Overloaded(Overload),
 }
 
 /// The origin.
 pub struct Origin {
-    figures: Figures,
+    config: Config,
     station: Station,
-    budget: Budget,
+    overload: OverloadDetector,
     stops: u32,
     down_until: Time,
     /// It is as wide as it has to be, and does not stop: memories are being filled.
-    wide: bool,
+    scaled_up: bool,
 }
 
 impl Origin {
     /// An origin at rest.
-    pub fn new(figures: Figures, mean_work: f64) -> Self {
+    pub fn new(config: Config, mean_work: f64) -> Self {
         Origin {
-            station: Station::new(figures.station, 1.0, 0),
-            budget: Budget::new(figures.fall_time, figures.fall_multiple, 4.0 * mean_work),
-            figures,
+            station: Station::new(config.station, 1.0, 0),
+            overload: OverloadDetector::new(
+                config.overload_window,
+                config.overload_multiple,
+                4.0 * mean_work,
+            ),
+            config,
             stops: 0,
             down_until: 0,
-            wide: false,
+            scaled_up: false,
         }
     }
 
     /// So many times as wide from now on, at the same time for each request, and never stopping by itself: for
     /// the time before a day in which memories fill. 1 makes it what its figures say. Advance to `now` first.
-    pub fn widen(&mut self, times: f64) {
-        let figures = self.figures.station;
-        self.wide = times > 1.0;
-        self.station.resize(figures.cores * times, (figures.slots as f64 * times) as usize);
-        self.budget.clear();
+    pub fn scale_capacity(&mut self, factor: f64) {
+        let config = self.config.station;
+        self.scaled_up = factor > 1.0;
+        self.station.resize(config.cores * factor, (config.slots as f64 * factor) as usize);
+        self.overload.clear();
     }
 
     /// Its station, to look at.
@@ -86,34 +90,34 @@
     }
 
     /// Notes work that is due here for a read that a cold backend should have been sent.
-    pub fn expect(&mut self, now: Time, due: f64) {
-        self.budget.sent(now, self.figures.station.cores, 0.0, 0.0, due);
+    pub fn record_expected(&mut self, now: Time, expected: f64) {
+        self.overload.record(now, self.config.station.cores, 0.0, 0.0, expected);
     }
 
     /// A fetch or a write has come whole: its work, and the part that a cold backend's miss is to blame for.
     /// Advance to `now` first.
-    pub fn offer(&mut self, now: Time, job: Job, work: f64, blamed: f64) -> Taken {
-        let capacity = self.figures.station.cores;
-        let overdrawn = self.budget.sent(now, capacity, work, blamed, 0.0);
-        if let Some(overdrawn) = overdrawn.filter(|_| self.stops < self.figures.most_stops && !self.wide) {
-            return Taken::Stops(overdrawn);
+    pub fn offer(&mut self, now: Time, job: Job, work: f64, attributed: f64) -> Admission {
+        let capacity = self.config.station.cores;
+        let overload = self.overload.record(now, capacity, work, attributed, 0.0);
+        if let Some(overload) = overload.filter(|_| self.stops < self.config.max_stops && !self.scaled_up) {
+            return Admission::Overloaded(overload);
         }
         match self.station.offer(now, job, work) {
-            Offer::Taken => Taken::InWork,
-            Offer::Full => Taken::Full,
+            station::Admission::Accepted => Admission::Accepted,
+            station::Admission::Full => Admission::Full,
         }
     }
 
     /// Nobody waits for this any more. Work that has begun goes on.
     pub fn cancel(&mut self, now: Time, job: Job) -> bool {
-        self.figures.drops_unwanted && self.station.drop_job(now, job, false)
+        self.config.drops_cancelled && self.station.cancel(now, job, false)
     }
 
     /// Stops it until `until`, or for as long as its figures say; gives back what it had.
     pub fn stop(&mut self, now: Time, until: Option<Time>) -> Vec<Job> {
         self.stops += u32::from(until.is_none());
-        self.down_until = until.unwrap_or(now + self.figures.down).max(self.down_until);
-        self.budget.clear();
+        self.down_until = until.unwrap_or(now + self.config.outage).max(self.down_until);
+        self.overload.clear();
         self.station.clear(now)
     }
 }
--- a/model/src/report.rs
+++ b/model/src/report.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// When it was made.
-    pub made: Time,
+    pub created_at: Time,
     /// Requests a second.
     pub qps: f64,
     /// Errors a second.
@@ -25,17 +25,17 @@
     period: Time,
     delay: Time,
     noise: f64,
-    late: Time,
-    skew: i64,
-    made: VecDeque<Report>,
+    extra_delay: Time,
+    clock_skew: i64,
+    reports: VecDeque<Report>,
     requests: u64,
     errors: u64,
-    busy: f64,
-    since: Time,
+    utilization: f64,
+    period_start: Time,
 }
 
 /// Reports that are still on their way, at most.
-const MOST: usize = 64;
+const MAX_STORED_REPORTS: usize = 64;
 
 impl Reporter {
     /// Reports every `period`, told `delay` later, each figure off by a share of up to `noise`.
@@ -44,49 +44,51 @@
             period: period.max(1),
             delay,
             noise,
-            late: 0,
-            skew: 0,
-            made: VecDeque::new(),
+            extra_delay: 0,
+            clock_skew: 0,
+            reports: VecDeque::new(),
             requests: 0,
             errors: 0,
-            busy: 0.0,
-            since: now,
+            utilization: 0.0,
+            period_start: now,
         }
     }
 
     /// From now on reports come this much later, and their clock is off by `skew` microseconds.
-    pub fn trouble(&mut self, late: Time, skew: i64) {
-        self.late = late;
-        self.skew = skew;
+    pub fn set_delay_fault(&mut self, extra_delay: Time, clock_skew: i64) {
+        self.extra_delay = extra_delay;
+        self.clock_skew = clock_skew;
     }
 
     /// One more request has ended, while the cores were this busy.
-    pub fn count(&mut self, now: Time, error: bool, busy: f64, rng: &mut ChaCha8Rng) {
+    pub fn record_request(&mut self, now: Time, error: bool, utilization: f64, rng: &mut ChaCha8Rng) {
         self.requests += 1;
         self.errors += u64::from(error);
-        self.busy += 0.2 * (busy - self.busy);
-        let passed = now - self.since;
+        self.utilization += 0.2 * (utilization - self.utilization);
+        let passed = now - self.period_start;
         if passed >= self.period {
             let seconds = passed as f64 / 1e6;
             let mut noisy = |x: f64| x * (1.0 + self.noise * (2.0 * rng.random::<f64>() - 1.0));
             let report = Report {
-                made: now.saturating_add_signed(self.skew),
+                created_at: now.saturating_add_signed(self.clock_skew),
                 qps: noisy(self.requests as f64 / seconds),
                 eps: noisy(self.errors as f64 / seconds),
-                util: noisy(self.busy).min(1.0),
+                util: noisy(self.utilization).min(1.0),
                 fetches: 0.0,
             };
-            if self.made.len() == MOST {
-                self.made.pop_front();
+            if self.reports.len() == MAX_STORED_REPORTS {
+                self.reports.pop_front();
             }
-            self.made.push_back(report);
-            (self.requests, self.errors, self.since) = (0, 0, now);
+            self.reports.push_back(report);
+            (self.requests, self.errors, self.period_start) = (0, 0, now);
         }
     }
 
     /// The latest report that is out at `now`.
-    pub fn seen(&self, now: Time) -> Option<Report> {
-        let ripe = |r: &&Report| r.made.saturating_add_signed(-self.skew) + self.delay + self.late <= now;
-        self.made.iter().rev().find(ripe).copied()
+    pub fn latest_visible(&self, now: Time) -> Option<Report> {
+        let is_visible = |r: &&Report| {
+            r.created_at.saturating_add_signed(-self.clock_skew) + self.delay + self.extra_delay <= now
+        };
+        self.reports.iter().rev().find(is_visible).copied()
     }
 }
--- a/model/src/spec/classes.rs
+++ b/model/src/spec/classes.rs
@@ -9,11 +9,14 @@
 #[serde(rename_all = "kebab-case")]
 pub enum EffectName {
     /// Safe to repeat.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// Carries a key.
-    Keyed,
+    #[serde(rename = "keyed")]
+    Deduplicated,
     /// Must never run twice.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    AtMostOnce,
 }
 
 /// A class of requests.
@@ -30,14 +33,16 @@
     #[serde(default)]
     pub work_cv: f64,
     /// Wanted within.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
     /// Given up after.
     pub deadline_ms: f64,
     /// What one is worth.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// The share of the worth that an answer after the aim still earns.
-    #[serde(default)]
-    pub late_worth: f64,
+    #[serde(default, rename = "late_worth")]
+    pub late_value_share: f64,
     /// What may be repeated.
     pub effect: EffectName,
     /// For how long repeats are dropped.
@@ -52,32 +57,36 @@
     /// What may be repeated.
     pub fn effect(&self) -> Effect {
         match self.effect {
-            EffectName::Safe => Effect::Safe,
-            EffectName::Keyed => Effect::Keyed { window: ms(self.window_ms) },
-            EffectName::Unsafe => Effect::Unsafe,
+            EffectName::Idempotent => Effect::Idempotent,
+            EffectName::Deduplicated => Effect::Deduplicated { window: ms(self.window_ms) },
+            EffectName::AtMostOnce => Effect::AtMostOnce,
         }
     }
 
     /// The classes of a spec that names none.
-    pub(super) fn usual() -> Vec<ClassSpec> {
-        let class =
-            |name: &str, share, work_ms, (aim_ms, deadline_ms), (worth, late_worth), effect| ClassSpec {
-                name: name.to_owned(),
-                share,
-                work_ms,
-                work_cv: 0.5,
-                aim_ms,
-                deadline_ms,
-                worth,
-                late_worth,
-                effect,
-                window_ms: if effect == EffectName::Keyed { 2000.0 } else { 0.0 },
-                write: effect != EffectName::Safe,
-            };
+    pub(super) fn defaults() -> Vec<ClassSpec> {
+        let class = |name: &str,
+                     share,
+                     work_ms,
+                     (latency_objective_ms, deadline_ms),
+                     (priority_weight, late_value_share),
+                     effect| ClassSpec {
+            name: name.to_owned(),
+            share,
+            work_ms,
+            work_cv: 0.5,
+            latency_objective_ms,
+            deadline_ms,
+            priority_weight,
+            late_value_share,
+            effect,
+            window_ms: if effect == EffectName::Deduplicated { 2000.0 } else { 0.0 },
+            write: effect != EffectName::Idempotent,
+        };
         vec![
-            class("read-sheet", 0.914, 41.0, (750.0, 2000.0), (2.0, 0.2), EffectName::Safe),
-            class("fix-hours", 0.046, 48.0, (800.0, 2000.0), (3.0, 0.5), EffectName::Keyed),
-            class("close-week", 0.04, 50.0, (300.0, 600.0), (8.0, 0.25), EffectName::Unsafe),
+            class("read-sheet", 0.914, 41.0, (750.0, 2000.0), (2.0, 0.2), EffectName::Idempotent),
+            class("fix-hours", 0.046, 48.0, (800.0, 2000.0), (3.0, 0.5), EffectName::Deduplicated),
+            class("close-week", 0.04, 50.0, (300.0, 600.0), (8.0, 0.25), EffectName::AtMostOnce),
         ]
     }
 }
@@ -96,7 +105,7 @@
 
 impl TenantSpec {
     /// The tenants of a spec that names none.
-    pub(super) fn usual() -> Vec<TenantSpec> {
+    pub(super) fn defaults() -> Vec<TenantSpec> {
         let tenant = |name: &str, share, usage| TenantSpec { name: name.to_owned(), share, usage };
         vec![
             tenant("constructora-ceiba", 0.45, 1.0),
--- a/model/src/spec/derived.rs
+++ b/model/src/spec/derived.rs
@@ -1,7 +1,7 @@
 //! What follows from the figures of a spec: rates, capacities and sizes.
 
 use super::{ClassSpec, Spec};
-use crate::memory::{che_capacity, zipf};
+use crate::cache::{che_capacity, zipf_shares};
 use crate::time::{secs, Time};
 
 impl Spec {
@@ -20,9 +20,9 @@
 
     /// Work that all backends do in a microsecond when warm, as the spec's mean speeds have it.
     pub fn fleet_capacity(&self) -> f64 {
-        let w = &self.backends;
-        let speed = w.speeds.0 * (1.0 - w.slow_share) + w.speeds.1 * w.slow_share;
-        f64::from(w.count) * w.cores * speed
+        let backends = &self.backends;
+        let speed = backends.speeds.0 * (1.0 - backends.slow_share) + backends.speeds.1 * backends.slow_share;
+        f64::from(backends.count) * backends.cores * speed
     }
 
     /// First tries a second, on average.
@@ -40,16 +40,17 @@
 
     /// Fetches and writes a second that the origin can do.
     pub fn origin_capacity(&self) -> f64 {
-        let usual = if self.load.rate > 0.0 { self.load.rate } else { self.rate_at(self.origin.usual_load) };
+        let defaults =
+            if self.load.rate > 0.0 { self.load.rate } else { self.rate_at(self.origin.reference_load) };
         let writes = self.write_share();
-        self.origin.headroom * usual * ((1.0 - writes) * (1.0 - self.keys.hits) + writes)
+        self.origin.headroom * defaults * ((1.0 - writes) * (1.0 - self.keys.hit_rate) + writes)
     }
 
     /// Units of room of one backend's memory: the fleet's by Che's approximation at the hit rate that is
     /// stated, shared out evenly. An object takes 8 units on average.
     pub fn backend_memory(&self) -> u64 {
-        let shares = zipf(self.keys.count, self.keys.zipf, self.keys.offset);
-        let objects = che_capacity(&shares, self.keys.hits);
+        let shares = zipf_shares(self.keys.count, self.keys.zipf, self.keys.offset);
+        let objects = che_capacity(&shares, self.keys.hit_rate);
         (objects * 8.0 / f64::from(self.backends.count)).ceil().max(16.0) as u64
     }
 
--- a/model/src/spec/mod.rs
+++ b/model/src/spec/mod.rs
@@ -2,8 +2,8 @@
 //! day like those the operators describe: 4 proxies, 14 backends, about 190 requests a second.
 
 use crate::backend::OnCancel;
+use crate::cache::EvictionPolicy;
 use crate::faults::Fault;
-use crate::memory::Evict;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 
@@ -18,14 +18,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped for `window` after the first.
-    Keyed {
+    Deduplicated {
         /// For how long.
         window: Time,
     },
     /// Must never run twice.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// How the rate moves about its mean.
@@ -94,10 +94,10 @@
         rules: Rules = Rules::default(),
         /// The classes of request.
         #[serde(rename = "class")]
-        classes: Vec<ClassSpec> = ClassSpec::usual(),
+        classes: Vec<ClassSpec> = ClassSpec::defaults(),
         /// The tenants.
         #[serde(rename = "tenant")]
-        tenants: Vec<TenantSpec> = TenantSpec::usual(),
+        tenants: Vec<TenantSpec> = TenantSpec::defaults(),
         /// What goes wrong.
         #[serde(rename = "fault")]
         faults: Vec<Fault> = Vec::new(),
@@ -120,23 +120,29 @@
         /// Requests in work at once, for each core.
         slots: u32 = 16,
         /// Requests that may wait.
-        room: u32 = 3,
+        #[serde(rename = "room")]
+        queue_capacity: u32 = 3,
         /// Requests held from which a backend grows less efficient, and what each further one costs.
-        crowding: (f64, f64) = (9.0, 0.08),
+        #[serde(rename = "crowding")]
+        contention: (f64, f64) = (9.0, 0.08),
         /// The share of its capacity at which a backend starts.
-        cold_from: f64 = 0.45,
+        #[serde(rename = "cold_from")]
+        initial_capacity_share: f64 = 0.45,
         /// Seconds until it is warm.
-        cold_s: f64 = 6.0,
+        #[serde(rename = "cold_s")]
+        warmup_s: f64 = 6.0,
         /// The share of answers that are errors.
         error_rate: f64 = 0.0005,
         /// Which copy goes first.
-        evict: Evict = Evict::Lru,
+        #[serde(rename = "evict")]
+        eviction: EvictionPolicy = EvictionPolicy::Lru,
         /// What becomes of work that nobody waits for.
-        on_cancel: OnCancel = OnCancel::DropsWaiting,
+        on_cancel: OnCancel = OnCancel::DropWaiting,
         /// The most connections to one backend.
         connections: u32 = 750,
         /// The share of its capacity that a full table of connections takes.
-        full_tax: f64 = 0.1,
+        #[serde(rename = "full_tax")]
+        max_connection_overhead: f64 = 0.1,
         /// Requests at a time on a connection.
         streams: u32 = 32,
         /// Seconds after which an idle connection is closed.
@@ -148,15 +154,20 @@
         /// Milliseconds after which a connection that is not up never comes up.
         connect_timeout_ms: f64 = 150.0,
         /// Requests held, for each core, beyond which a backend chokes; 0 where none does.
-        choke_at: f64 = 0.0,
+        #[serde(rename = "choke_at")]
+        degraded_at: f64 = 0.0,
         /// After holding so much for so many seconds.
-        choke_over_s: f64 = 2.0,
+        #[serde(rename = "choke_over_s")]
+        degraded_after_s: f64 = 2.0,
         /// So many times slower it is then.
-        choke_slower: f64 = 2.8,
+        #[serde(rename = "choke_slower")]
+        degraded_slowdown: f64 = 2.8,
         /// Until no more than this share of its cores is in use for so many seconds,
-        choke_rest: (f64, f64) = (0.3, 3.0),
+        #[serde(rename = "choke_rest")]
+        degraded_recovery: (f64, f64) = (0.3, 3.0),
         /// or for so many seconds in any case.
-        choke_most_s: f64 = 27.0,
+        #[serde(rename = "choke_most_s")]
+        max_degraded_s: f64 = 27.0,
         /// Load reports: made every so many milliseconds, told so much later, off by this share.
         report_ms: (f64, f64, f64) = (520.0, 340.0, 0.04),
     }
@@ -168,7 +179,8 @@
         /// Fetches a second that it can do beside those that one pooled cache would leave at `usual_load`.
         headroom: f64 = 1.75,
         /// The load at which that is counted.
-        usual_load: f64 = 0.6,
+        #[serde(rename = "usual_load")]
+        reference_load: f64 = 0.6,
         /// What a fetch takes it, in milliseconds.
         fetch_ms: f64 = 54.0,
         /// How widely that varies (coefficient of variation).
@@ -178,13 +190,17 @@
         /// Seconds of work that may wait.
         queue_s: f64 = 1.5,
         /// What crowding costs.
-        crowding: f64 = 0.0,
+        #[serde(rename = "crowding")]
+        contention: f64 = 0.0,
         /// Whether waiting work that nobody waits for is dropped.
-        drops_unwanted: bool = true,
+        #[serde(rename = "drops_unwanted")]
+        drops_cancelled: bool = true,
         /// Sent more than this many times its capacity for `fall_s`, it stops.
-        fall_multiple: f64 = 3.0,
+        #[serde(rename = "fall_multiple")]
+        overload_multiple: f64 = 3.0,
         /// The seconds over which that is counted.
-        fall_s: f64 = 3.0,
+        #[serde(rename = "fall_s")]
+        overload_window_s: f64 = 3.0,
         /// The seconds for which it stops.
         down_s: f64 = 5.0,
     }
@@ -218,11 +234,13 @@
         /// The share of the keys that are replaced by new ones every second.
         drift: f64 = 0.008,
         /// The share of reads that one pooled cache of the fleet's size would answer.
-        hits: f64 = 0.92,
+        #[serde(rename = "hits")]
+        hit_rate: f64 = 0.92,
         /// How widely objects differ in size (coefficient of variation).
         size_cv: f64 = 0.6,
         /// Seconds for which a copy lasts; 0 for ever.
-        keep_s: f64 = 0.0,
+        #[serde(rename = "keep_s")]
+        ttl_s: f64 = 0.0,
     }
 }
 
@@ -244,23 +262,30 @@
     /// The list of backends.
     DiscoverySpec {
         /// Seconds until a new backend is listed.
-        add_s: f64 = 1.2,
+        #[serde(rename = "add_s")]
+        add_delay_s: f64 = 1.2,
         /// Seconds until a drain or an end is listed.
-        notice_s: f64 = 3.4,
+        #[serde(rename = "notice_s")]
+        removal_delay_s: f64 = 3.4,
         /// Seconds until a silent machine is listed as gone.
-        silent_s: f64 = 9.0,
+        #[serde(rename = "silent_s")]
+        silent_removal_delay_s: f64 = 9.0,
         /// Changes are published every so many milliseconds.
-        period_ms: f64 = 700.0,
+        #[serde(rename = "period_ms")]
+        publish_period_ms: f64 = 700.0,
         /// And reach each proxy within so many.
-        spread_ms: f64 = 85.0,
+        #[serde(rename = "spread_ms")]
+        max_delivery_delay_ms: f64 = 85.0,
         /// Milliseconds that a call takes, and that each line of its answer adds.
         call_ms: (f64, f64) = (5.0, 0.02),
         /// Milliseconds after which a waiting call fails.
         timeout_ms: f64 = 1000.0,
         /// Whether the list gives true speeds as sizes; 1 for all where not.
-        tells_sizes: bool = false,
+        #[serde(rename = "tells_sizes")]
+        lists_true_sizes: bool = false,
         /// Seconds for which a proxy may go without asking.
-        ask_every_s: f64 = 10.0,
+        #[serde(rename = "ask_every_s")]
+        poll_interval_s: f64 = 10.0,
     }
 }
 
@@ -268,7 +293,8 @@
     /// The front.
     FrontSpec {
         /// Seconds until it notices that a proxy has died.
-        notice_s: f64 = 2.5,
+        #[serde(rename = "notice_s")]
+        detection_delay_s: f64 = 2.5,
     }
 }
 
@@ -278,15 +304,19 @@
         /// Tries beyond the first.
         retries: u32 = 2,
         /// A try is given up after this share of the class's time, from and to.
-        try_share: (f64, f64) = (0.5, 0.8),
+        #[serde(rename = "try_share")]
+        attempt_timeout_share: (f64, f64) = (0.5, 0.8),
         /// The first wait, from and to; it doubles with each try.
         backoff_ms: (f64, f64) = (15.0, 120.0),
         /// The share that heeds a retry-after.
-        honour: f64 = 0.85,
+        #[serde(rename = "honour")]
+        honors_retry_after_share: f64 = 0.85,
         /// The longest retry-after that is heeded; 0 where clients get none.
-        most_wait_ms: f64 = 1000.0,
+        #[serde(rename = "most_wait_ms")]
+        max_retry_after_ms: f64 = 1000.0,
         /// The share of tries whose client leaves early.
-        impatient: f64 = 0.02,
+        #[serde(rename = "impatient")]
+        early_leave_share: f64 = 0.02,
     }
 }
 
@@ -296,25 +326,32 @@
         /// Attempts for one request.
         max_attempts: u32 = 3,
         /// Whether two attempts may be out at once.
-        second_copies: bool = true,
+        #[serde(rename = "second_copies")]
+        hedging: bool = true,
         /// Whether attempts may be cancelled.
         may_cancel: bool = true,
         /// Requests that a proxy may hold.
-        most_held: u32 = 20_000,
+        #[serde(rename = "most_held")]
+        max_in_flight: u32 = 20_000,
         /// An answer may come so much after the client's time.
         answer_slack_ms: f64 = 20.0,
         /// So long after being told, a proxy may still send to a draining or gone backend.
         drain_grace_ms: f64 = 1000.0,
         /// Cold from, as a module is told; the true figure is no less.
-        cold_from: f64 = 0.31,
+        #[serde(rename = "cold_from")]
+        initial_capacity_share: f64 = 0.31,
         /// Warm after so many seconds, as a module is told; the true figure is no more.
-        cold_s: f64 = 8.1,
+        #[serde(rename = "cold_s")]
+        warmup_s: f64 = 8.1,
         /// Sent more than this many times its capacity for `fall_s`, a cold backend falls over.
-        fall_multiple: f64 = 4.0,
+        #[serde(rename = "fall_multiple")]
+        overload_multiple: f64 = 4.0,
         /// The seconds over which that is counted.
-        fall_s: f64 = 2.0,
+        #[serde(rename = "fall_s")]
+        overload_window_s: f64 = 2.0,
         /// What is beyond a tenant's share is worth so much beside the usual.
-        over_share_worth: f64 = 0.05,
+        #[serde(rename = "over_share_worth")]
+        over_quota_weight: f64 = 0.05,
         /// Tenants' shares are of so much of the fleet's capacity.
         quota_of_capacity: f64 = 0.82,
     }
--- a/model/src/station.rs
+++ b/model/src/station.rs
@@ -14,7 +14,7 @@
 
 /// How crowding costs: with `n` requests held, efficiency is `1 / (1 + cost * (n - from))` beyond `from`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Crowding {
+pub struct Contention {
     /// Requests held from which efficiency falls.
     pub from: f64,
     /// What each further one costs, as a share; 0 for no cost.
@@ -23,22 +23,22 @@
 
 /// The figures of a station.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct Config {
     /// Cores.
     pub cores: f64,
     /// Requests in work at once, at most.
     pub slots: usize,
     /// Requests that may wait.
-    pub room: usize,
+    pub queue_capacity: usize,
     /// What crowding costs.
-    pub crowding: Crowding,
+    pub contention: Contention,
 }
 
 /// What became of an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is in work or waits.
-    Taken,
+    Accepted,
     /// Slots and waiting room are full; it was not looked at.
     Full,
 }
@@ -55,22 +55,22 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-struct Target(f64);
+struct FinishAt(f64);
 
-impl Eq for Target {}
-impl PartialOrd for Target {
+impl Eq for FinishAt {}
+impl PartialOrd for FinishAt {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Target {
+impl Ord for FinishAt {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct Entry {
     offered: Time,
     running: bool,
 }
@@ -96,54 +96,54 @@
 
 /// Cores, slots and a waiting room.
 pub struct Station {
-    figures: Figures,
+    config: Config,
     /// Work that one core does in a microsecond, before crowding.
-    pace: f64,
+    speed: f64,
     /// Work that each request in work has been given since the start.
     attained: f64,
     now: Time,
-    running: BinaryHeap<Reverse<(Target, Job)>>,
-    in_work: usize,
+    finish_queue: BinaryHeap<Reverse<(FinishAt, Job)>>,
+    running: usize,
     waiting: VecDeque<(Job, f64)>,
-    held: FxHashMap<Job, Held>,
+    in_flight: FxHashMap<Job, Entry>,
     /// Requests beyond what it takes since it was made smaller; they are done all the same.
-    over: usize,
+    excess_allowance: usize,
     tally: Tally,
 }
 
 /// Work this close to done is done: the rounding of one wake-up to whole microseconds.
-const CLOSE: f64 = 1e-6;
+const WORK_TOLERANCE_US: f64 = 1e-6;
 
 impl Station {
     /// An empty station whose cores do `pace` microseconds of work in a microsecond.
-    pub fn new(figures: Figures, pace: f64, now: Time) -> Self {
+    pub fn new(config: Config, speed: f64, now: Time) -> Self {
         Station {
-            figures,
-            pace,
+            config,
+            speed,
             attained: 0.0,
             now,
-            running: BinaryHeap::new(),
-            in_work: 0,
+            finish_queue: BinaryHeap::new(),
+            running: 0,
             waiting: VecDeque::new(),
-            held: FxHashMap::default(),
-            over: 0,
+            in_flight: FxHashMap::default(),
+            excess_allowance: 0,
             tally: Tally::default(),
         }
     }
 
     /// Requests held, in work or waiting.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Requests in work.
-    pub fn in_work(&self) -> usize {
-        self.in_work
+    pub fn running(&self) -> usize {
+        self.running
     }
 
     /// How busy the cores are, 0 to 1.
-    pub fn busy(&self) -> f64 {
-        (self.in_work as f64 / self.figures.cores).min(1.0)
+    pub fn utilization(&self) -> f64 {
+        (self.running as f64 / self.config.cores).min(1.0)
     }
 
     /// What it has seen so far.
@@ -152,156 +152,158 @@
     }
 
     /// The most that it may hold now.
-    pub fn bound(&self) -> usize {
-        self.figures.slots + self.figures.room + self.over
+    pub fn max_in_flight(&self) -> usize {
+        self.config.slots + self.config.queue_capacity + self.excess_allowance
     }
 
     /// Work that each request in work is given in a microsecond.
-    fn rate(&self) -> f64 {
-        if self.in_work == 0 {
+    fn service_rate(&self) -> f64 {
+        if self.running == 0 {
             return 0.0;
         }
-        let beyond = (self.held.len() as f64 - self.figures.crowding.from).max(0.0);
-        let efficiency = 1.0 / (1.0 + self.figures.crowding.cost * beyond);
-        self.pace * efficiency * (self.figures.cores / self.in_work as f64).min(1.0)
+        let excess = (self.in_flight.len() as f64 - self.config.contention.from).max(0.0);
+        let efficiency = 1.0 / (1.0 + self.config.contention.cost * excess);
+        self.speed * efficiency * (self.config.cores / self.running as f64).min(1.0)
     }
 
-    fn drop_stale(&mut self) {
-        while let Some(Reverse((_, job))) = self.running.peek() {
-            if self.held.get(job).is_some_and(|h| h.running) {
+    fn discard_dropped(&mut self) {
+        while let Some(Reverse((_, job))) = self.finish_queue.peek() {
+            if self.in_flight.get(job).is_some_and(|h| h.running) {
                 return;
             }
-            self.running.pop();
+            self.finish_queue.pop();
         }
     }
 
-    fn pass(&mut self, to: Time) {
+    fn elapse(&mut self, to: Time) {
         let passed = to.saturating_sub(self.now);
         if passed > 0 {
-            let done = self.rate() * passed as f64;
+            let done = self.service_rate() * passed as f64;
             self.attained += done;
-            self.tally.work += done * self.in_work as f64;
-            self.tally.held_time += passed as u128 * self.held.len() as u128;
+            self.tally.work += done * self.running as f64;
+            self.tally.held_time += passed as u128 * self.in_flight.len() as u128;
             self.now = to;
         }
     }
 
-    fn begin_next(&mut self) {
-        while self.in_work < self.figures.slots {
+    fn start_waiting(&mut self) {
+        while self.running < self.config.slots {
             let Some((job, work)) = self.waiting.pop_front() else { return };
-            if let Some(held) = self.held.get_mut(&job) {
-                held.running = true;
-                self.in_work += 1;
-                self.running.push(Reverse((Target(self.attained + work), job)));
+            if let Some(entry) = self.in_flight.get_mut(&job) {
+                entry.running = true;
+                self.running += 1;
+                self.finish_queue.push(Reverse((FinishAt(self.attained + work), job)));
             }
         }
         // Guards against a sum that grows until single requests are lost in its rounding.
-        if self.in_work == 0 {
+        if self.running == 0 {
             self.attained = 0.0;
-            self.running.clear();
+            self.finish_queue.clear();
         }
     }
 
     /// Requests beyond slots and waiting room.
-    fn beyond(&self) -> usize {
-        self.held.len().saturating_sub(self.figures.slots + self.figures.room)
+    fn excess(&self) -> usize {
+        self.in_flight.len().saturating_sub(self.config.slots + self.config.queue_capacity)
     }
 
-    fn leave(&mut self, job: Job, at: Time) -> Option<Held> {
-        let held = self.held.remove(&job)?;
-        self.in_work -= usize::from(held.running);
-        self.tally.sojourn += u128::from(at - held.offered);
-        self.over = self.over.min(self.beyond());
-        Some(held)
+    fn remove(&mut self, job: Job, at: Time) -> Option<Entry> {
+        let entry = self.in_flight.remove(&job)?;
+        self.running -= usize::from(entry.running);
+        self.tally.sojourn += u128::from(at - entry.offered);
+        self.excess_allowance = self.excess_allowance.min(self.excess());
+        Some(entry)
     }
 
     /// When the next request in work will be done if nothing else happens; `None` while nothing is or the
     /// cores stand still. Call [`Station::advance`] then.
     pub fn wake_at(&mut self) -> Option<Time> {
-        self.drop_stale();
-        let Reverse((Target(target), _)) = *self.running.peek()?;
-        let rate = self.rate();
-        if rate <= 0.0 {
+        self.discard_dropped();
+        let Reverse((FinishAt(target), _)) = *self.finish_queue.peek()?;
+        let service_rate = self.service_rate();
+        if service_rate <= 0.0 {
             return None;
         }
-        let left = ((target - self.attained).max(0.0) / rate).ceil();
+        let left = ((target - self.attained).max(0.0) / service_rate).ceil();
         Some(self.now + left.min((NEVER / 4) as f64) as Time)
     }
 
     /// Passes time up to `now` and appends what was done, in the order of its ending.
     pub fn advance(&mut self, now: Time, done: &mut Vec<Finished>) {
         while let Some(at) = self.wake_at().filter(|at| *at <= now) {
-            self.pass(at);
-            while let Some(&Reverse((Target(target), job))) = self.running.peek() {
-                if target > self.attained + CLOSE {
+            self.elapse(at);
+            while let Some(&Reverse((FinishAt(target), job))) = self.finish_queue.peek() {
+                if target > self.attained + WORK_TOLERANCE_US {
                     break;
                 }
-                self.running.pop();
+                self.finish_queue.pop();
                 // A request dropped while in work leaves its entry behind.
-                if self.held.get(&job).is_some_and(|h| h.running) {
-                    let held = self.leave(job, at).expect("looked up above");
+                if self.in_flight.get(&job).is_some_and(|h| h.running) {
+                    let entry = self.remove(job, at).expect("looked up above");
                     self.tally.finished += 1;
-                    done.push(Finished { job, offered: held.offered, at });
+                    done.push(Finished { job, offered: entry.offered, at });
                 }
             }
-            self.begin_next();
+            self.start_waiting();
         }
-        self.pass(now);
+        self.elapse(now);
     }
 
     /// Offers a request of `work` microseconds of a standard core. Call [`Station::advance`] to `now` first.
-    pub fn offer(&mut self, now: Time, job: Job, work: f64) -> Offer {
+    pub fn offer(&mut self, now: Time, job: Job, work: f64) -> Admission {
         debug_assert!(now == self.now, "offered at {now}, advanced to {}", self.now);
-        let waits = self.in_work >= self.figures.slots;
-        if waits && (self.waiting.len() >= self.figures.room || self.held() >= self.bound()) {
+        let must_wait = self.running >= self.config.slots;
+        if must_wait
+            && (self.waiting.len() >= self.config.queue_capacity || self.in_flight() >= self.max_in_flight())
+        {
             self.tally.turned_away += 1;
-            return Offer::Full;
+            return Admission::Full;
         }
         self.tally.taken += 1;
-        self.held.insert(job, Held { offered: now, running: false });
+        self.in_flight.insert(job, Entry { offered: now, running: false });
         self.waiting.push_back((job, work.max(0.0)));
-        self.begin_next();
-        Offer::Taken
+        self.start_waiting();
+        Admission::Accepted
     }
 
     /// Nobody waits for this request any more: it is dropped if it waits, and if `also_running` also where it
     /// is in work. Says whether it was.
-    pub fn drop_job(&mut self, now: Time, job: Job, also_running: bool) -> bool {
-        let Some(held) = self.held.get(&job).copied() else { return false };
-        if held.running && !also_running {
+    pub fn cancel(&mut self, now: Time, job: Job, include_running: bool) -> bool {
+        let Some(entry) = self.in_flight.get(&job).copied() else { return false };
+        if entry.running && !include_running {
             return false;
         }
-        self.leave(job, now);
+        self.remove(job, now);
         self.waiting.retain(|(j, _)| *j != job);
         self.tally.dropped += 1;
-        self.begin_next();
+        self.start_waiting();
         true
     }
 
     /// Changes the pace from now on. Call [`Station::advance`] to `now` first.
-    pub fn set_pace(&mut self, pace: f64) {
-        self.pace = pace.max(0.0);
+    pub fn set_speed(&mut self, speed: f64) {
+        self.speed = speed.max(0.0);
     }
 
     /// Changes the cores and the slots from now on. Call [`Station::advance`] to `now` first. Requests in work
     /// beyond the slots are done all the same.
     pub fn resize(&mut self, cores: f64, slots: usize) {
-        self.figures.cores = cores;
-        self.figures.slots = slots;
-        self.over = self.beyond();
-        self.begin_next();
+        self.config.cores = cores;
+        self.config.slots = slots;
+        self.excess_allowance = self.excess();
+        self.start_waiting();
     }
 
     /// Drops everything, as when a process dies; gives back what was held, in order of the job's number.
     pub fn clear(&mut self, now: Time) -> Vec<Job> {
-        let mut jobs: Vec<Job> = self.held.keys().copied().collect();
+        let mut jobs: Vec<Job> = self.in_flight.keys().copied().collect();
         jobs.sort_unstable();
         for job in &jobs {
-            self.leave(*job, now);
+            self.remove(*job, now);
         }
         self.tally.dropped += jobs.len() as u64;
         self.waiting.clear();
-        self.begin_next();
+        self.start_waiting();
         jobs
     }
 }
--- a/model/src/time.rs
+++ b/model/src/time.rs
@@ -24,7 +24,7 @@
 }
 
 /// A [`Time`] in seconds.
-pub fn in_secs(t: Time) -> f64 {
+pub fn to_secs(t: Time) -> f64 {
     t as f64 / 1e6
 }
 
--- a/model/tests/arithmetic.rs
+++ b/model/tests/arithmetic.rs
@@ -1,11 +1,13 @@
 //! The model held against arithmetic that nobody here invented. Each table names its formula and tolerance;
 //! seeds are fixed, so the verdict is the same every time.
 
-use notchdoor_model::clients::{spread, ClientBehaviour, Demand, Heard, Want};
-use notchdoor_model::memory::{che_capacity, che_hit_rate, zipf, Evict, Memory, Truth};
-use notchdoor_model::overload::Budget;
+use notchdoor_model::cache::{che_capacity, che_hit_rate, zipf_shares, Cache, EvictionPolicy, Validity};
+use notchdoor_model::clients::{
+    unit_mean_lognormal, AttemptResult, ClientBehaviour, ClientRequest, Workload,
+};
+use notchdoor_model::overload::OverloadDetector;
 use notchdoor_model::spec::{Effect, Shape, Spec};
-use notchdoor_model::station::{Crowding, Figures, Finished, Offer, Station, Tally};
+use notchdoor_model::station::{Admission, Config, Contention, Finished, Station, Tally};
 use notchdoor_model::time::{rng, Purpose, Time, MS, S};
 use rand::RngExt;
 use rand_distr::weighted::WeightedAliasIndex;
@@ -24,8 +26,8 @@
 
 /// A station under Poisson arrivals at `rho` of its capacity; the tally, the time it ran, and arrivals.
 fn queue(cores: f64, slots: usize, room: usize, rho: f64, work: Work, n: u64) -> (Tally, Time, u64) {
-    let figures = Figures { cores, slots, room, crowding: Crowding::default() };
-    let mut station = Station::new(figures, 1.0, 0);
+    let config = Config { cores, slots, queue_capacity: room, contention: Contention::default() };
+    let mut station = Station::new(config, 1.0, 0);
     let mut rng = rng(11, Purpose::Demand);
     let (mut now, mut done): (f64, Vec<Finished>) = (0.0, Vec::new());
     for job in 0..n {
@@ -37,13 +39,13 @@
             Work::LogNormal(d) => d.sample(&mut rng),
         };
         station.advance(now as Time, &mut done);
-        let _: Offer = station.offer(now as Time, job, size * MEAN);
+        let _: Admission = station.offer(now as Time, job, size * MEAN);
     }
     while let Some(at) = station.wake_at() {
         station.advance(at, &mut done);
         now = at as f64;
     }
-    assert_eq!(station.held(), 0);
+    assert_eq!(station.in_flight(), 0);
     (station.tally(), now as Time, n)
 }
 
@@ -58,7 +60,7 @@
 #[test]
 fn sojourn_times_are_those_of_the_textbook_queues() {
     const ROOM: usize = 1_000_000;
-    let wide = Work::LogNormal(spread(1.5));
+    let wide = Work::LogNormal(unit_mean_lognormal(1.5));
     // Pollaczek and Khinchine: W = S + rho S (1 + cv^2) / (2 (1 - rho)).
     let pk = |rho: f64, cv: f64| 1.0 + rho * (1.0 + cv * cv) / (2.0 * (1.0 - rho));
     let mmc = |c: u32, rho: f64| 1.0 + erlang_c(c, rho) / (f64::from(c) * (1.0 - rho));
@@ -124,14 +126,14 @@
         (5_000, 1.0, 0.0, 500, 0.01),
         (20_000, 1.2, 5.0, 300, 0.01),
     ] {
-        let shares = zipf(n, exponent, offset);
+        let shares = zipf_shares(n, exponent, offset);
         let pick = WeightedAliasIndex::new(shares.clone()).unwrap();
-        let (mut memory, truth) = (Memory::new(capacity, Evict::Lru), Truth::new(None));
+        let (mut memory, truth) = (Cache::new(capacity, EvictionPolicy::Lru), Validity::new(None));
         let mut rng = rng(5, Purpose::Demand);
         let (mut hits, warm, scored) = (0u32, 100_000u32, 300_000u32);
         for i in 0..warm + scored {
             let key = pick.sample(&mut rng) as u64;
-            if memory.holds(0, key, &truth) {
+            if memory.lookup(0, key, &truth) {
                 hits += u32::from(i >= warm);
             } else {
                 memory.store(key, 0, 1);
@@ -150,14 +152,14 @@
 
 #[test]
 fn fifo_does_worse_than_lru_where_keys_are_uneven() {
-    let pick = WeightedAliasIndex::new(zipf(2_000, 1.0, 0.0)).unwrap();
+    let pick = WeightedAliasIndex::new(zipf_shares(2_000, 1.0, 0.0)).unwrap();
     let rate = |evict| {
-        let (mut memory, truth) = (Memory::new(100, evict), Truth::new(None));
+        let (mut memory, truth) = (Cache::new(100, evict), Validity::new(None));
         let mut rng = rng(5, Purpose::Demand);
         let mut hits = 0;
         for _ in 0..100_000 {
             let key = pick.sample(&mut rng) as u64;
-            if memory.holds(0, key, &truth) {
+            if memory.lookup(0, key, &truth) {
                 hits += 1;
             } else {
                 memory.store(key, 0, 1);
@@ -165,25 +167,25 @@
         }
         hits
     };
-    assert!(rate(Evict::Lru) > rate(Evict::Fifo) + 2_000);
+    assert!(rate(EvictionPolicy::Lru) > rate(EvictionPolicy::Fifo) + 2_000);
 }
 
 #[test]
 fn copies_are_void_after_a_write_a_flush_and_their_time() {
-    let mut truth = Truth::new(Some(10 * S));
-    let mut memory = Memory::new(100, Evict::Lru);
+    let mut truth = Validity::new(Some(10 * S));
+    let mut memory = Cache::new(100, EvictionPolicy::Lru);
     for key in 0..50 {
         memory.store(key, S, 2);
     }
-    assert!(memory.holds(2 * S, 7, &truth));
-    truth.wrote(2 * S, 7);
+    assert!(memory.lookup(2 * S, 7, &truth));
+    truth.record_write(2 * S, 7);
     assert!(!memory.peek(2 * S, 7, &truth), "a copy made before the write");
     memory.store(7, 3 * S, 2);
-    assert!(memory.holds(3 * S, 7, &truth), "a copy made after it");
+    assert!(memory.lookup(3 * S, 7, &truth), "a copy made after it");
     truth.flush(4 * S, 0.6, 99);
-    let kept = (0..50).filter(|k| memory.holds(4 * S, *k, &truth)).count();
+    let kept = (0..50).filter(|k| memory.lookup(4 * S, *k, &truth)).count();
     assert!((10..30).contains(&kept), "about two in five are left: {kept}");
-    assert!((0..50).all(|k| !memory.holds(14 * S, k, &truth)), "none outlasts its time");
+    assert!((0..50).all(|k| !memory.lookup(14 * S, k, &truth)), "none outlasts its time");
     memory.store(1, 0, 101);
     assert_eq!(memory.used().0, 0, "what is larger than the memory is not kept");
 }
@@ -192,24 +194,28 @@
 fn retries_multiply_as_their_closed_form_says() {
     // Each try fails with chance p: mean tries are (1 - p^(R+1)) / (1 - p).
     for (retries, p) in [(0u32, 0.5f64), (2, 0.3), (2, 0.9), (5, 0.7)] {
-        let manners = ClientBehaviour {
+        let behaviour = ClientBehaviour {
             retries,
-            try_share: (0.5, 0.8),
+            attempt_timeout_share: (0.5, 0.8),
             backoff: (MS, MS),
-            honour: 0.0,
-            most_wait: 0,
-            impatient: 0.0,
+            honors_retry_after_share: 0.0,
+            max_retry_after: 0,
+            early_leave_share: 0.0,
         };
         let mut rng = rng(3, Purpose::Clients);
         let n = 40_000;
         let mut tries = 0u64;
         for _ in 0..n {
-            let (want, mut made, mut now) = (want(0, 600 * S), 0, 0);
+            let (request, mut made, mut now) = (request(0, 600 * S), 0, 0);
             loop {
                 made += 1;
                 tries += 1;
-                let heard = if rng.random::<f64>() < p { Heard::Refused(0) } else { Heard::Served };
-                match manners.again(&want, Effect::Safe, (heard, made), None, now, &mut rng) {
+                let heard = if rng.random::<f64>() < p {
+                    AttemptResult::Rejected(0)
+                } else {
+                    AttemptResult::Answered
+                };
+                match behaviour.retry_at(&request, Effect::Idempotent, (heard, made), None, now, &mut rng) {
                     Some(at) => now = at,
                     None => break,
                 }
@@ -220,8 +226,8 @@
     }
 }
 
-fn want(since: Time, until: Time) -> Want {
-    Want {
+fn request(since: Time, until: Time) -> ClientRequest {
+    ClientRequest {
         class: 0,
         tenant: 0,
         zone: 0,
@@ -229,7 +235,7 @@
         write: false,
         work: 1.0,
         fetch_work: 1.0,
-        room: 1,
+        size: 1,
         since,
         until,
     }
@@ -237,37 +243,37 @@
 
 #[test]
 fn clients_try_again_only_where_the_platform_says() {
-    let manners = ClientBehaviour {
+    let behaviour = ClientBehaviour {
         retries: 2,
-        try_share: (0.5, 0.8),
+        attempt_timeout_share: (0.5, 0.8),
         backoff: (100 * MS, 100 * MS),
-        honour: 1.0,
-        most_wait: S,
-        impatient: 0.0,
+        honors_retry_after_share: 1.0,
+        max_retry_after: S,
+        early_leave_share: 0.0,
     };
-    let keyed = Effect::Keyed { window: 2 * S };
+    let keyed = Effect::Deduplicated { window: 2 * S };
     // effect, heard, tries made, first risk, now, when again
     let cases = [
-        (Effect::Safe, Heard::Failed, 1, Some(0), 0, Some(100 * MS)),
-        (Effect::Safe, Heard::Nothing, 2, Some(0), 0, Some(200 * MS)),
-        (Effect::Safe, Heard::Failed, 3, Some(0), 0, None),
-        (Effect::Safe, Heard::Served, 1, None, 0, None),
-        (Effect::Safe, Heard::Refused(700 * MS), 1, None, 0, Some(700 * MS)),
-        (Effect::Safe, Heard::Refused(5 * S), 1, None, 0, Some(S)),
-        (Effect::Unsafe, Heard::Failed, 1, Some(0), 0, None),
-        (Effect::Unsafe, Heard::Nothing, 1, Some(0), 0, None),
-        (Effect::Unsafe, Heard::Refused(0), 1, None, 0, Some(100 * MS)),
-        (Effect::Unsafe, Heard::Unreachable, 1, None, 0, Some(100 * MS)),
-        (Effect::Unsafe, Heard::Refused(0), 2, Some(0), 0, None),
-        (keyed, Heard::Failed, 1, Some(0), S, Some(S + 100 * MS)),
-        (keyed, Heard::Failed, 1, Some(0), 2 * S, None),
-        (keyed, Heard::Failed, 1, Some(0), 1_950 * MS, None),
+        (Effect::Idempotent, AttemptResult::Failed, 1, Some(0), 0, Some(100 * MS)),
+        (Effect::Idempotent, AttemptResult::TimedOut, 2, Some(0), 0, Some(200 * MS)),
+        (Effect::Idempotent, AttemptResult::Failed, 3, Some(0), 0, None),
+        (Effect::Idempotent, AttemptResult::Answered, 1, None, 0, None),
+        (Effect::Idempotent, AttemptResult::Rejected(700 * MS), 1, None, 0, Some(700 * MS)),
+        (Effect::Idempotent, AttemptResult::Rejected(5 * S), 1, None, 0, Some(S)),
+        (Effect::AtMostOnce, AttemptResult::Failed, 1, Some(0), 0, None),
+        (Effect::AtMostOnce, AttemptResult::TimedOut, 1, Some(0), 0, None),
+        (Effect::AtMostOnce, AttemptResult::Rejected(0), 1, None, 0, Some(100 * MS)),
+        (Effect::AtMostOnce, AttemptResult::Unreachable, 1, None, 0, Some(100 * MS)),
+        (Effect::AtMostOnce, AttemptResult::Rejected(0), 2, Some(0), 0, None),
+        (keyed, AttemptResult::Failed, 1, Some(0), S, Some(S + 100 * MS)),
+        (keyed, AttemptResult::Failed, 1, Some(0), 2 * S, None),
+        (keyed, AttemptResult::Failed, 1, Some(0), 1_950 * MS, None),
         // Beyond the time that the client has.
-        (Effect::Safe, Heard::Failed, 2, None, 3_900 * MS, None),
+        (Effect::Idempotent, AttemptResult::Failed, 2, None, 3_900 * MS, None),
     ];
     let mut rng = rng(1, Purpose::Clients);
     for (effect, heard, tries, risked, now, expected) in cases {
-        let again = manners.again(&want(0, 4 * S), effect, (heard, tries), risked, now, &mut rng);
+        let again = behaviour.retry_at(&request(0, 4 * S), effect, (heard, tries), risked, now, &mut rng);
         assert_eq!(again, expected, "{effect:?} {heard:?} after {tries} tries at {now}");
     }
 }
@@ -277,17 +283,17 @@
     for shape in [Shape::Constant, Shape::Wave, Shape::Bursty] {
         let mut spec = Spec::default();
         (spec.load.shape, spec.load.swing) = (shape, 0.4);
-        let mut demand = Demand::new(&spec, 500.0, 9);
-        demand.rush(80 * S, 160 * S, 2.0);
+        let mut demand = Workload::new(&spec, 500.0, 9);
+        demand.scale_rate(80 * S, 160 * S, 2.0);
         let (mut now, mut n, mut rushed, mut writes) = (0, 0u32, 0u32, 0u32);
         loop {
-            now = demand.next(now);
+            now = demand.next_arrival(now);
             // Whole periods of the shape on both sides.
             if now >= 160 * S {
                 break;
             }
-            let want = demand.draw(now);
-            writes += u32::from(want.write);
+            let request = demand.generate(now);
+            writes += u32::from(request.write);
             if now < 80 * S {
                 n += 1;
             } else {
@@ -305,10 +311,10 @@
 fn an_overload_budget_breaks_at_its_multiple_and_not_before() {
     // Sent `rate` times a capacity of 1 in steps of 10 ms against a multiple of 4 over 2 s.
     for (rate, breaks) in [(1.0, false), (3.9, false), (4.3, true), (8.0, true)] {
-        let mut budget = Budget::new(2 * S, 4.0, 0.0);
+        let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
         let first = (0..400u64).find_map(|i| {
             let now = i * 10 * MS;
-            budget.sent(now, 1.0, rate * 10.0 * MS as f64, 0.0, 0.0).map(|over| (now, over))
+            budget.record(now, 1.0, rate * 10.0 * MS as f64, 0.0, 0.0).map(|over| (now, over))
         });
         assert_eq!(first.is_some(), breaks, "{rate}");
         if let Some((now, over)) = first {
@@ -319,9 +325,9 @@
         }
     }
     // What is long past does not count, and blame is told apart.
-    let mut budget = Budget::new(2 * S, 4.0, 0.0);
-    assert!(budget.sent(0, 1.0, 7.9e6, 7.9e6, 0.0).is_none());
-    assert!(budget.sent(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(), "a window later");
-    let over = budget.sent(3 * S + 100 * MS, 1.0, 1e6, 1e6, 0.0).unwrap();
-    assert!((over.blamed - 1e6).abs() < 1.0 && (over.sent - 8.9e6).abs() < 1.0, "{over:?}");
+    let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
+    assert!(budget.record(0, 1.0, 7.9e6, 7.9e6, 0.0).is_none());
+    assert!(budget.record(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(), "a window later");
+    let over = budget.record(3 * S + 100 * MS, 1.0, 1e6, 1e6, 0.0).unwrap();
+    assert!((over.attributed - 1e6).abs() < 1.0 && (over.sent - 8.9e6).abs() < 1.0, "{over:?}");
 }
--- a/model/tests/choke.rs
+++ b/model/tests/choke.rs
@@ -1,41 +1,53 @@
 //! A backend that holds too much for too long turns slow, and stays so until it has rested.
 
-use notchdoor_model::backend::{Backend, Choke, Figures, OnCancel, Taken};
-use notchdoor_model::memory::{Evict, Truth};
+use notchdoor_model::backend::{Admission, Backend, Config, Degradation, OnCancel};
+use notchdoor_model::cache::{EvictionPolicy, Validity};
 use notchdoor_model::report::Reporter;
-use notchdoor_model::station::{self, Crowding};
+use notchdoor_model::station::{self, Contention};
 use notchdoor_model::time::{Time, MS, S};
 
 fn backend() -> Backend {
-    let choke = Choke { at: 2.0, over: S, slower: 3.0, below: 0.25, rest: 2 * S, most: 20 * S };
-    let figures = Figures {
-        station: station::Figures { cores: 4.0, slots: 4, room: 1_000, crowding: Crowding::default() },
+    let degradation = Degradation {
+        in_flight_per_core: 2.0,
+        after: S,
+        slowdown: 3.0,
+        recovery_utilization: 0.25,
+        recovery_time: 2 * S,
+        max_duration: 20 * S,
+    };
+    let config = Config {
+        station: station::Config {
+            cores: 4.0,
+            slots: 4,
+            queue_capacity: 1_000,
+            contention: Contention::default(),
+        },
         speed: 1.0,
-        cold_from: 0.5,
-        cold: S,
-        fall_multiple: 3.0,
-        fall_time: S,
-        memory: 1_000,
-        evict: Evict::Lru,
+        initial_capacity_share: 0.5,
+        warmup: S,
+        overload_multiple: 3.0,
+        overload_window: S,
+        cache: 1_000,
+        eviction: EvictionPolicy::Lru,
         error_rate: 0.0,
-        on_cancel: OnCancel::GoesOn,
-        connections: 10,
-        full_tax: 0.0,
-        choke: Some(choke),
+        on_cancel: OnCancel::Continue,
+        max_connections: 10,
+        max_connection_overhead: 0.0,
+        degradation: Some(degradation),
     };
-    let mut backend = Backend::new(figures, Reporter::new(500 * MS, 300 * MS, 0.0, 0), 40_000.0);
+    let mut backend = Backend::new(config, Reporter::new(500 * MS, 300 * MS, 0.0, 0), 40_000.0);
     backend.store(1, 0, 1);
     backend
 }
 
 /// Offers reads of 100 ms so often for so long; when the last of them was done.
 fn load(backend: &mut Backend, from: Time, every: Time, length: Time) -> Time {
-    let (mut done, truth) = (Vec::new(), Truth::new(None));
+    let (mut done, truth) = (Vec::new(), Validity::new(None));
     for n in 0..length / every {
         let now = from + n * every;
         backend.advance(now, &mut done);
         let job = from + n;
-        assert_eq!(backend.offer(now, job, 1, 100_000.0, true, &truth), Taken::InWork);
+        assert_eq!(backend.offer(now, job, 1, 100_000.0, true, &truth), Admission::Accepted);
     }
     while let Some(at) = backend.wake_at() {
         backend.advance(at, &mut done);
@@ -48,16 +60,16 @@
     let mut w = backend();
     // Four cores do 40 a second: 25 a second never wait.
     load(&mut w, S, 40 * MS, 5 * S);
-    assert!(!w.is_choked());
+    assert!(!w.is_degraded());
     // 100 a second hold more than two for each core within a moment, and do so for over a second.
     let end = load(&mut w, 10 * S, 10 * MS, 2 * S);
-    assert!(w.is_choked());
+    assert!(w.is_degraded());
     // 200 reads take 5 s unchoked; choked from about a second on, three times as long for what was left then.
     assert!((20 * S..26 * S).contains(&end), "done at {end}");
     let mut none = Vec::new();
     w.advance(end + S, &mut none);
-    assert!(w.is_choked(), "it has not rested for long enough");
+    assert!(w.is_degraded(), "it has not rested for long enough");
     w.advance(end + 4 * S, &mut none);
     w.advance(end + 7 * S, &mut none);
-    assert!(!w.is_choked());
+    assert!(!w.is_degraded());
 }
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -10,7 +10,7 @@
 use notchdoor_load::arrivals::Arrivals;
 use notchdoor_load::codec::Protocol;
 use notchdoor_load::run::{run, Kept, Options};
-use notchdoor_model::faults::Kind;
+use notchdoor_model::faults::FaultKind;
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::Time;
 use serde::Serialize;
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 
 /// Faults of the schedule that can be played on sockets so far.
-pub const PLAYABLE: &[Kind] = &[Kind::OriginStop];
+pub const PLAYABLE: &[FaultKind] = &[FaultKind::OriginStop];
 /// A proxy that is not ready by then never will be.
 const READY: Duration = Duration::from_secs(10);
 /// How often memory and descriptors are looked at.
@@ -218,7 +218,7 @@
         faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         for fault in &faults {
             at(spec.warm_up_s + fault.at_s).await;
-            if fault.kind == Kind::OriginStop {
+            if fault.kind == FaultKind::OriginStop {
                 stand.stop_origin(Duration::from_secs_f64(fault.length_s));
             }
         }
--- a/testbed/src/stand/host.rs
+++ b/testbed/src/stand/host.rs
@@ -16,9 +16,9 @@
 use notchdoor_lab::rules::NotifiedList;
 use notchdoor_lab::world::{number, registry_figures, World, ORIGIN, ORIGIN_KIND};
 use notchdoor_model::backend::{self, State as Process};
-use notchdoor_model::clients::spread;
-use notchdoor_model::discovery::{Discovery, Line, Listed, ServerId, Telling, Told};
-use notchdoor_model::memory::{key_of, Key};
+use notchdoor_model::cache::{key_from_text, Key};
+use notchdoor_model::clients::unit_mean_lognormal;
+use notchdoor_model::discovery::{Delivery, Discovery, EndpointEntry, EndpointUpdate, ListedState, ServerId};
 use notchdoor_model::origin;
 use notchdoor_model::spec::{Effect, Spec};
 use notchdoor_model::station::{Finished, Job};
@@ -82,7 +82,7 @@
     registry: Discovery,
     rev: u64,
     /// What each proxy's watch is to be told.
-    watches: Vec<Option<Sender<Telling>>>,
+    watches: Vec<Option<Sender<Delivery>>>,
     told: Vec<NotifiedList>,
     jobs: FxHashMap<Job, Sender<Outcome>>,
     last_job: Job,
@@ -200,7 +200,7 @@
     pub fn widen(&self, times: f64) {
         let mut state = self.inner.state.borrow_mut();
         state.advance_origin(self.inner.now());
-        state.world.origin.widen(times);
+        state.world.origin.scale_capacity(times);
         drop(state);
         self.inner.nudge();
     }
@@ -213,8 +213,8 @@
     /// Requests that workers and the origin hold now.
     pub fn held(&self) -> usize {
         let state = self.inner.state.borrow();
-        let workers: usize = state.world.machines.iter().map(|m| m.worker.station().held()).sum();
-        workers + state.world.origin.station().held()
+        let workers: usize = state.world.machines.iter().map(|m| m.worker.station().in_flight()).sum();
+        workers + state.world.origin.station().in_flight()
     }
 }
 
@@ -241,7 +241,7 @@
         world.machines[machine as usize].worker.advance(now, &mut done);
         for finished in done {
             let world = &mut self.world;
-            let error = world.machines[machine as usize].worker.answers_error(now, &mut world.service);
+            let error = world.machines[machine as usize].worker.complete_request(now, &mut world.service);
             self.end(&[finished.job], if error { Outcome::Error } else { Outcome::Ok });
         }
     }
@@ -268,17 +268,18 @@
     fn wrote(&mut self, now: Time, id: &str, info: &Info, key: Key, effect: Effect) {
         let stands_for = info.get("k").unwrap_or(id);
         let before = self.ran.get(stands_for).copied();
-        let dropped = matches!((effect, before), (Effect::Keyed { window }, Some(at)) if now < at + window);
+        let dropped =
+            matches!((effect, before), (Effect::Deduplicated { window }, Some(at)) if now < at + window);
         if dropped {
             return;
         }
         self.seen.ran += 1;
-        self.seen.ran_again += u64::from(effect == Effect::Unsafe && before.is_some());
+        self.seen.ran_again += u64::from(effect == Effect::AtMostOnce && before.is_some());
         if before.is_none() {
             remember(&mut self.ran_order, &mut self.ran, stands_for);
         }
         self.ran.insert(stands_for.to_owned(), now);
-        self.world.truth.wrote(now, key);
+        self.world.truth.record_write(now, key);
     }
 }
 
@@ -358,7 +359,7 @@
         }
     }
 
-    fn hand_over(&self, state: &mut State, tellings: Vec<Telling>) {
+    fn hand_over(&self, state: &mut State, tellings: Vec<Delivery>) {
         for telling in tellings {
             let proxy = telling.proxy as usize;
             // A watch that takes nothing any more is over; it is noticed when it is written to.
@@ -375,9 +376,9 @@
         Update { rev: state.rev, all: true, targets: self.targets(proxy, &lines) }
     }
 
-    fn targets(&self, proxy: u32, lines: &[Line]) -> Vec<Target> {
+    fn targets(&self, proxy: u32, lines: &[EndpointEntry]) -> Vec<Target> {
         let endpoints = self.endpoints.borrow();
-        let target = |line: &Line| {
+        let target = |line: &EndpointEntry| {
             let endpoint = endpoints.get(&(proxy, line.server))?;
             Some(Target {
                 uid: format!("s-{:08x}", line.server),
@@ -391,9 +392,9 @@
                 .to_owned(),
                 pod_group: line.cell,
                 state: match line.state {
-                    Listed::Serving => "in_service",
-                    Listed::Draining => "terminating",
-                    Listed::Gone => "terminated",
+                    ListedState::Serving => "in_service",
+                    ListedState::Draining => "terminating",
+                    ListedState::Gone => "terminated",
                 },
                 capacity_hint: line.size,
                 boot_ms: if line.started == 0 { 0 } else { self.unix + line.started / 1000 },
@@ -411,25 +412,25 @@
     /// What a request takes a worker, or the origin, in microseconds of a standard core: by its id, so that a repeat
     /// of the same request is the same work.
     fn work(&self, id: &str, info: &Info, fetch: bool) -> f64 {
-        let mut rng = ChaCha8Rng::seed_from_u64(key_of(id) ^ self.seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(key_from_text(id) ^ self.seed);
         let class = &self.spec.classes[self.class(info)];
         let o = &self.spec.origin;
         if fetch {
             let times = if class.write { o.write_work } else { 1.0 };
-            return o.fetch_ms * 1e3 * times * spread(o.work_cv).sample(&mut rng);
+            return o.fetch_ms * 1e3 * times * unit_mean_lognormal(o.work_cv).sample(&mut rng);
         }
-        class.work_ms * 1e3 * spread(class.work_cv).sample(&mut rng)
+        class.work_ms * 1e3 * unit_mean_lognormal(class.work_cv).sample(&mut rng)
     }
 
     /// The room that a key's object takes.
     fn room(&self, key: Key) -> u32 {
         let mut rng = ChaCha8Rng::seed_from_u64(key ^ self.seed);
-        (8.0 * spread(self.spec.keys.size_cv).sample(&mut rng)).clamp(1.0, 512.0) as u32
+        (8.0 * unit_mean_lognormal(self.spec.keys.size_cv).sample(&mut rng)).clamp(1.0, 512.0) as u32
     }
 
     /// A key's value: its text, over and over, as long as its object is.
     fn value(&self, key: &str) -> Vec<u8> {
-        let length = (self.room(key_of(key)) as usize * BYTES_A_UNIT).clamp(key.len(), MOST_VALUE);
+        let length = (self.room(key_from_text(key)) as usize * BYTES_A_UNIT).clamp(key.len(), MOST_VALUE);
         key.bytes().cycle().take(length).collect()
     }
 
@@ -601,7 +602,7 @@
         work += w.handshake_ms * 1e3;
     }
     inner.until(inner.now() + there).await;
-    let number = key_of(&key);
+    let number = key_from_text(&key);
     let (held, ended) = {
         let now = inner.now();
         let mut state = inner.state.borrow_mut();
@@ -613,26 +614,27 @@
         }
         let (job, ended) = state.begin();
         let m = &mut state.world.machines[machine as usize];
-        let told = state.told[proxy as usize].knows_start(m.server, m.worker.started());
+        let told = state.told[proxy as usize].knows_start(m.server, m.worker.started_at());
         let taken = m.worker.offer(now, job, number, work, told, &state.world.truth);
         match taken {
-            backend::Taken::InWork => {}
-            backend::Taken::Miss => {
+            backend::Admission::Accepted => {}
+            backend::Admission::Miss => {
                 state.seen.misses += 1;
                 state.miss(&id, machine);
                 state.end(&[job], Outcome::Miss);
             }
-            backend::Taken::Full => {
+            backend::Admission::Full => {
                 state.seen.turned_away += 1;
                 state.end(&[job], Outcome::Rejected);
             }
-            backend::Taken::Falls(_) => {
+            backend::Admission::Overloaded(_) => {
                 state.seen.falls += 1;
                 let jobs = state.world.machines[machine as usize].worker.kill(now);
                 state.end(&jobs, Outcome::Reset);
                 state.end(&[job], Outcome::Reset);
-                let line = Line { state: Listed::Gone, ..state.world.machines[machine as usize].line };
-                state.registry.change(now, line, false);
+                let line =
+                    EndpointEntry { state: ListedState::Gone, ..state.world.machines[machine as usize].line };
+                state.registry.schedule_change(now, line, false);
             }
         }
         (Held { inner, machine: Some(machine), job }, ended)
@@ -710,9 +712,9 @@
         let work = inner.work(id, info, true);
         let (job, ended) = state.begin();
         match state.world.origin.offer(now, job, work, 0.0) {
-            origin::Taken::InWork => {}
-            origin::Taken::Full => state.end(&[job], Outcome::Rejected),
-            origin::Taken::Stops(_) => {
+            origin::Admission::Accepted => {}
+            origin::Admission::Full => state.end(&[job], Outcome::Rejected),
+            origin::Admission::Overloaded(_) => {
                 state.seen.stops += 1;
                 let jobs = state.world.origin.stop(now, None);
                 state.end(&jobs, Outcome::Reset);
@@ -725,7 +727,7 @@
     let outcome = ended.recv().await.ok()?;
     drop(held);
     if outcome == Outcome::Ok {
-        let (now, number) = (inner.now(), key_of(key));
+        let (now, number) = (inner.now(), key_from_text(key));
         let mut state = inner.state.borrow_mut();
         let state = &mut *state;
         if write {
@@ -799,21 +801,23 @@
             let next = future::or(async { told.recv().await.ok() }, beat).await;
             let mut out = Vec::new();
             if !begun {
-                out.extend_from_slice(if matches!(&next, Some(t) if matches!(t.told, Told::Error)) {
-                    UNAVAILABLE
-                } else {
-                    WATCH
-                });
+                out.extend_from_slice(
+                    if matches!(&next, Some(t) if matches!(t.update, EndpointUpdate::Error)) {
+                        UNAVAILABLE
+                    } else {
+                        WATCH
+                    },
+                );
                 begun = true;
             }
             match next {
                 None => out.extend_from_slice(BEAT),
                 Some(telling) => {
                     inner.until(telling.at).await;
-                    let (lines, all) = match &telling.told {
-                        Told::Whole(lines) => (lines, true),
-                        Told::Changes(lines) => (lines, false),
-                        Told::Error => return drop((&*stream).write_all(&out).await),
+                    let (lines, all) = match &telling.update {
+                        EndpointUpdate::FullList(lines) => (lines, true),
+                        EndpointUpdate::Changes(lines) => (lines, false),
+                        EndpointUpdate::Error => return drop((&*stream).write_all(&out).await),
                     };
                     let mut state = inner.state.borrow_mut();
                     state.rev += 1;
@@ -831,6 +835,6 @@
     };
     future::or(ends, goes_on).await;
     let mut state = inner.state.borrow_mut();
-    state.registry.forget(proxy);
+    state.registry.remove_proxy(proxy);
     state.watches[proxy as usize] = None;
 }
--- a/testbed/src/stand/settings.rs
+++ b/testbed/src/stand/settings.rs
@@ -10,12 +10,12 @@
     let (r, c) = (&spec.rules, &spec.clients);
     let grade = |k: &notchdoor_model::spec::ClassSpec| {
         json!({
-            "name": k.name, "aim": k.aim_ms, "deadline": k.deadline_ms, "points": k.worth,
-            "lateShare": k.late_worth, "stream": false, "dedupScope": "all", "dedupWindow": k.window_ms,
+            "name": k.name, "aim": k.latency_objective_ms, "deadline": k.deadline_ms, "points": k.priority_weight,
+            "lateShare": k.late_value_share, "stream": false, "dedupScope": "all", "dedupWindow": k.window_ms,
             "effect": match k.effect {
-                EffectName::Safe => "idempotent",
-                EffectName::Keyed => "deduplicated",
-                EffectName::Unsafe => "at_most_once",
+                EffectName::Idempotent => "idempotent",
+                EffectName::Deduplicated => "deduplicated",
+                EffectName::AtMostOnce => "at_most_once",
             },
         })
     };
@@ -29,20 +29,20 @@
     json!({
         "balancers": spec.proxies, "me": me,
         "grades": spec.classes.iter().map(grade).collect::<Vec<_>>(),
-        "tenants": tenants, "overShareWorth": r.over_share_worth,
+        "tenants": tenants, "overShareWorth": r.over_quota_weight,
         "dcs": spec.zones, "zone": spec.zones[me as usize % spec.zones.len()], "skus": ["std", "slow", "origin"],
-        "discovery": "on_request", "weightKind": if spec.discovery.tells_sizes { "nominal" } else { "off" },
+        "discovery": "on_request", "weightKind": if spec.discovery.lists_true_sizes { "nominal" } else { "off" },
         "family": "cache", "familyInfo": {"mode": "aside", "originKind": 2},
         "limits": {
             "connectTimeout": spec.backends.connect_timeout_ms, "idleClose": spec.backends.idle_s * 1e3,
-            "maxAttempts": r.max_attempts, "maxRetryAfter": c.most_wait_ms, "mayCancel": r.may_cancel,
-            "mostHeld": r.most_held, "retryAfter": c.most_wait_ms > 0.0, "secondCopies": r.second_copies,
+            "maxAttempts": r.max_attempts, "maxRetryAfter": c.max_retry_after_ms, "mayCancel": r.may_cancel,
+            "mostHeld": r.max_in_flight, "retryAfter": c.max_retry_after_ms > 0.0, "secondCopies": r.hedging,
             "streamsPerConn": spec.backends.streams, "probes": false,
         },
         "obligations": {
-            "answerSlack": r.answer_slack_ms, "askEvery": spec.discovery.ask_every_s * 1e3,
-            "cold": r.cold_s * 1e3, "coldFrom": r.cold_from, "drainGrace": r.drain_grace_ms,
-            "fallMultiple": r.fall_multiple, "tipAfter": r.fall_s * 1e3,
+            "answerSlack": r.answer_slack_ms, "askEvery": spec.discovery.poll_interval_s * 1e3,
+            "cold": r.warmup_s * 1e3, "coldFrom": r.initial_capacity_share, "drainGrace": r.drain_grace_ms,
+            "fallMultiple": r.overload_multiple, "tipAfter": r.overload_window_s * 1e3,
         },
     })
 }
