--- a/cli/tests/bad_input.rs
+++ b/cli/tests/bad_input.rs
@@ -132,11 +132,11 @@
 #[test]
 fn no_more_of_a_file_is_read_than_could_be_meant() {
     let error = bounded_file::read_bytes(Path::new("/dev/zero"), 1 << 16).unwrap_err().to_string();
-    assert_eq!(error, "it holds more than 65536 bytes");
+    assert_eq!(error, "file exceeds 65536 bytes");
     let path = scratch("bounds", b"1234\xff6");
     assert_eq!(bounded_file::read_bytes(&path, 6).unwrap().len(), 6);
     assert!(bounded_file::read_bytes(&path, 5).is_err());
-    assert_eq!(bounded_file::read_text(&path, 6).unwrap_err().to_string(), "byte 4 is not UTF-8");
+    assert_eq!(bounded_file::read_text(&path, 6).unwrap_err().to_string(), "invalid UTF-8 at byte 4");
     for odd in [std::env::temp_dir(), PathBuf::from("/no/such/file")] {
         assert!(bounded_file::read_text(&odd, 6).is_err());
         assert!(experiment::read(&odd).is_err());
--- a/lab/tests/files.rs
+++ b/lab/tests/files.rs
@@ -29,18 +29,24 @@
         ),
         (
             "[[fault]]\nkind = 'flush'\nat_s = 1.0\ncount = 3.0",
-            &["f:4:9: fault.0.count: a `flush` has no such figure; it has share"],
+            &["f:4:9: fault.0.count: a `flush` fault has no such parameter; it has share"],
         ),
         (
             "[[fault]]\nkind = 'scan'\nat_s = 1.0",
-            &["f:1:1: fault.0.length_s: a `scan` lasts: it needs a length"],
+            &["f:1:1: fault.0.length_s: a `scan` fault needs a length above 0"],
+        ),
+        (
+            "[[fault]]\nkind = 'flush'\nat_s = 99.0",
+            &["f:3:8: fault.0.at_s: 99 is not before the end of the day at 45"],
         ),
-        ("[[fault]]\nkind = 'flush'\nat_s = 99.0", &["f:3:8: fault.0.at_s: 99 is after the day's end at 45"]),
         (
             "[[fault]]\nkind = 'origin-stop'\nat_s = 1.0\nlength_s = 1.0\nfactor = 1.0",
-            &["f:5:10: ", "it has no figures"],
+            &["f:5:10: ", "it has none"],
+        ),
+        (
+            "[[tenant]]\nname = 'a'\nshare = 1.0\nusage = 0.0",
+            &["f:1:1: tenant: share times usage is 0 for every tenant"],
         ),
-        ("[[tenant]]\nname = 'a'\nshare = 1.0\nusage = 0.0", &["f:1:1: tenant: no tenant uses any share"]),
         ("[[class]]\nname = 'a'", &["f:1:1: missing field `share`"]),
         // All at once, not the first.
         (
--- a/model/src/backend.rs
+++ b/model/src/backend.rs
@@ -1,4 +1,4 @@
-//! A cache backend: a station with a memory, cold after a start, that may drain, die or fall over.
+//! Cache backend: a [`Station`] with a [`Cache`], slow start, draining, crashes and overload behaviour.
 
 use crate::cache::{Cache, EvictionPolicy, Key, Validity};
 use crate::overload::{Overload, OverloadDetector};
@@ -9,104 +9,106 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// What becomes of work that nobody waits for any more.
+/// How a backend treats a cancelled request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OnCancel {
-    /// It is done all the same.
+    /// The request is still processed.
     #[serde(rename = "goes-on")]
     Continue,
-    /// It is dropped while it waits, and done once it is in work.
+    /// A queued request is dropped; a running one is still processed.
     #[serde(rename = "drops-waiting")]
     DropWaiting,
 }
 
-/// How a backend chokes on its load: what waits for too long slows it down, and it stays slow until it has rested.
+/// Overload degradation: after too many requests in flight for too long, the backend slows down until it has
+/// been nearly idle for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct Degradation {
-    /// Requests held, for each core, beyond which it does.
+    /// Requests in flight per core above which the backend counts as strained.
     pub in_flight_per_core: f64,
-    /// For so long.
+    /// How long it has to be strained before it degrades.
     pub after: Time,
-    /// So many times slower it is from then on.
+    /// Divisor of its speed while degraded.
     pub slowdown: f64,
-    /// It recovers once no more than this share of its cores has been in use,
+    /// Share of the cores in use at or below which it recovers.
     pub recovery_utilization: f64,
-    /// for so long,
+    /// How long it has to stay at or below `recovery_utilization`.
     pub recovery_time: Time,
-    /// or after so long in any case.
+    /// Longest time that it stays degraded, whatever its utilization.
     pub max_duration: Time,
 }
 
-/// Where a backend stands with its choking.
+/// State of the overload degradation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Health {
-    /// It holds no more than it bears.
+    /// Requests in flight are within the limit.
     Normal,
-    /// It has held too much since then.
+    /// Above the limit since the given time.
     Strained(Time),
-    /// It has been choked since then, and at rest since then, if it is.
+    /// Degraded since the first time; nearly idle since the second, if it is.
     Degraded(Time, Option<Time>),
 }
 
-/// The figures of a backend.
+/// Configuration of a backend.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Cores, slots, waiting room, crowding.
+    /// Cores, running and queued requests, contention.
     pub station: station::Config,
-    /// Work that a core does in a microsecond when warm and left alone.
+    /// Work done per core and microsecond when warm and undisturbed, in microseconds of a standard core.
     pub speed: f64,
-    /// The share of its capacity at which it starts.
+    /// Share of the full capacity right after a start.
     pub initial_capacity_share: f64,
-    /// The time over which its capacity rises to the full.
+    /// Time over which the capacity rises linearly to the full.
     pub warmup: Time,
-    /// Sent more than this many times what it can do while cold, over `fall_time`, it falls over.
+    /// While warming up, the backend crashes when it is sent more than this multiple of its capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// The time over which that is counted.
+    /// Window over which the sent work is counted.
     pub overload_window: Time,
-    /// Units of room for copies.
+    /// Cache capacity, in units of object size.
     pub cache: u64,
-    /// Which copy is dropped first.
+    /// Cache eviction policy.
     pub eviction: EvictionPolicy,
-    /// The share of answers that are errors.
+    /// Share of responses that are errors.
     pub error_rate: f64,
-    /// What becomes of work that nobody waits for.
+    /// How cancelled requests are treated.
     pub on_cancel: OnCancel,
-    /// The most connections that it holds.
+    /// Connections that are accepted at most.
     pub max_connections: u32,
-    /// The share of its capacity that a full table of connections takes.
+    /// Share of the capacity lost when `max_connections` are open; proportional below that.
     pub max_connection_overhead: f64,
-    /// How it chokes, if it does.
+    /// Overload degradation; `None` disables it.
     pub degradation: Option<Degradation>,
 }
 
-/// Whether the process runs.
+/// State of the backend's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
+    /// Serves requests.
     Up,
-    /// It finishes its work and turns away what is new.
+    /// Finishes the requests in flight and rejects new ones.
     Draining,
-    /// It does not run: connections are refused.
+    /// Not running; connections are refused.
     Down,
 }
 
-/// What became of a request that reached a backend.
+/// Result of offering a request to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is being worked on; [`Backend::advance`] tells when it is done.
+    /// Running or queued; [`Backend::advance`] returns it once it is done.
     Accepted,
-    /// Nothing is kept for its key.
+    /// The key is not cached.
     Miss,
-    /// Turned away.
+    /// Rejected: the queue is full or the backend is draining.
     Full,
-    /// The backend falls over under it: it was cold, and was sent too much. The host has to kill it.
+    /// The backend was sent too much while warming up. The caller has to kill it.
     Overloaded(Overload),
 }
 
-/// How often a cold backend's pace is set anew while it works.
+/// Interval at which the speed of a warming backend is updated.
 const WARMUP_STEP: Time = 50 * MS;
-/// Work that the first request on a new connection costs beside its own is part of what a cold backend is sent.
+/// Slack of the overload detector, in requests of mean work.
 const SLACK_REQUESTS: f64 = 4.0;
 
 /// One cache backend.
@@ -114,7 +116,7 @@
     config: Config,
     state: State,
     started_at: Time,
-    /// The share of the machine that another program has now.
+    /// Share of the machine's CPU that another program uses.
     stolen_cpu_share: f64,
     station: Station,
     cache: Cache,
@@ -122,12 +124,12 @@
     connections: u32,
     health: Health,
     next_speed_update: Time,
-    /// What it says of its load.
+    /// Produces the backend's load reports.
     pub reporter: Reporter,
 }
 
 impl Backend {
-    /// A backend that has run for long: warm, and empty until it is filled.
+    /// Creates a warm backend with an empty cache.
     pub fn new(config: Config, reporter: Reporter, mean_work: f64) -> Self {
         let overload = OverloadDetector::new(
             config.overload_window,
@@ -149,27 +151,27 @@
         }
     }
 
-    /// Whether it runs.
+    /// Current state of the process.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When it last started; 0 for long ago.
+    /// Time of the last start; 0 if it was running before the simulation began.
     pub fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// Its station, to look at.
+    /// The station that processes requests.
     pub fn station(&self) -> &Station {
         &self.station
     }
 
-    /// Its memory, to look at.
+    /// The cache.
     pub fn cache(&self) -> &Cache {
         &self.cache
     }
 
-    /// The share of its capacity that it has because it started so long ago.
+    /// Share of the full capacity that slow start allows at `now`, from `initial_capacity_share` to 1.
     pub fn capacity_share(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= self.config.warmup {
@@ -179,12 +181,12 @@
             + (1.0 - self.config.initial_capacity_share) * age as f64 / self.config.warmup as f64
     }
 
-    /// Work that it can do in a microsecond, on all cores.
+    /// Work per microsecond on all cores at `now`, in microseconds of a standard core.
     pub fn capacity(&self, now: Time) -> f64 {
         self.current_speed(now) * self.config.station.cores
     }
 
-    /// Work that it can do in a microsecond when warm and left alone.
+    /// Work per microsecond on all cores when warm and undisturbed.
     pub fn full_capacity(&self) -> f64 {
         self.config.speed * self.config.station.cores
     }
@@ -204,7 +206,7 @@
             / slowdown
     }
 
-    /// When it wants to be advanced next.
+    /// Time of the next call to [`Backend::advance`], if one is due.
     pub fn wake_at(&mut self) -> Option<Time> {
         let done = self.station.wake_at()?;
         Some(if self.started_at > 0 && self.next_speed_update <= done {
@@ -214,7 +216,7 @@
         })
     }
 
-    /// Passes time up to `now` and appends what was done. Set paces follow at every step of its warming.
+    /// Advances the clock to `now` and appends the finished requests to `done`.
     pub fn advance(&mut self, now: Time, done: &mut Vec<Finished>) {
         self.station.advance(now, done);
         self.update_health(now);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Whether it has held too much for too long, or rested long enough, since it was last looked at.
+    /// Moves the degradation state machine to `now` and updates the station's speed.
     fn update_health(&mut self, now: Time) {
         let Some(degradation) = self.config.degradation else { return };
         let cores = self.config.station.cores;
@@ -254,20 +256,21 @@
         }
     }
 
-    /// Whether it is slow for what it held.
+    /// Whether the backend is slowed down by an earlier overload.
     pub fn is_degraded(&self) -> bool {
         matches!(self.health, Health::Degraded(..))
     }
 
-    /// Whether an answer that is due now is an error instead; counted in the load report.
+    /// Records a finished request in the load report and draws whether its response is an error.
     pub fn complete_request(&mut self, now: Time, rng: &mut ChaCha8Rng) -> bool {
         let error = self.config.error_rate > 0.0 && rng.random::<f64>() < self.config.error_rate;
         self.reporter.record_request(now, error, self.station.utilization(), rng);
         error
     }
 
-    /// A read has come whole: its key, its work in microseconds of a standard core (a new connection's
-    /// included), and whether its sender had been told of this backend's latest start. Advance to `now` first.
+    /// Offers a completely received read. `work` is in microseconds of a standard core, including that of a
+    /// new connection; `notified` says whether the sending proxy knew of this backend's latest start.
+    /// The caller first advances the backend to `now`.
     pub fn offer(
         &mut self,
         now: Time,
@@ -277,7 +280,7 @@
         notified: bool,
         validity: &Validity,
     ) -> Admission {
-        debug_assert!(self.state != State::Down, "offered to a process that does not run");
+        debug_assert!(self.state != State::Down, "request offered to a stopped backend");
         if self.started_at > 0 && self.capacity_share(now) < 1.0 {
             let attributed = if notified { work } else { 0.0 };
             let overload = self.overload.record(now, self.capacity(now), work, attributed, 0.0);
@@ -288,7 +291,7 @@
         if self.state == State::Draining {
             return Admission::Full;
         }
-        // The waiting room is looked at before the key: a full backend turns requests away unseen.
+        // A full backend rejects a request before it looks up the key.
         if self.station.in_flight() >= self.station.max_in_flight() {
             let refused = self.station.offer(now, job, work);
             debug_assert!(refused == station::Admission::Full);
@@ -303,19 +306,19 @@
         }
     }
 
-    /// Nobody waits for this request any more.
+    /// Cancels a request. Returns whether it was dropped.
     pub fn cancel(&mut self, now: Time, job: Job) -> bool {
         self.config.on_cancel == OnCancel::DropWaiting && self.station.cancel(now, job, false)
     }
 
-    /// The origin has answered for a request that missed here.
+    /// Caches the origin's response to a request that missed here.
     pub fn store(&mut self, key: Key, created_at: Time, size: u32) {
         if self.state == State::Up {
             self.cache.store(key, created_at, size);
         }
     }
 
-    /// One more or one fewer connection. False if the table is full.
+    /// Counts an opened or a closed connection. Returns false if the limit is reached.
     pub fn connect(&mut self, opened: bool) -> bool {
         if !opened {
             self.connections = self.connections.saturating_sub(1);
@@ -327,20 +330,21 @@
         true
     }
 
-    /// Another program takes this share of the machine from now on. Advance to `now` first.
+    /// Sets the share of the machine that another program uses from `now` on. The caller first advances the
+    /// backend to `now`.
     pub fn set_stolen_cpu_share(&mut self, now: Time, share: f64) {
         self.stolen_cpu_share = share.clamp(0.0, 1.0);
         self.station.set_speed(self.current_speed(now));
     }
 
-    /// It is asked to end: it finishes what it has.
+    /// Starts draining.
     pub fn drain(&mut self) {
         if self.state == State::Up {
             self.state = State::Draining;
         }
     }
 
-    /// The process ends; gives back the requests that it had.
+    /// Stops the process and returns the requests that were in flight.
     pub fn kill(&mut self, now: Time) -> Vec<Job> {
         self.state = State::Down;
         self.connections = 0;
@@ -348,7 +352,7 @@
         self.station.clear(now)
     }
 
-    /// The process starts: cold and empty.
+    /// Starts the process, cold and with an empty cache.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
         self.health = Health::Normal;
--- a/model/src/cache.rs
+++ b/model/src/cache.rs
@@ -1,19 +1,19 @@
-//! What a backend keeps, and which kept copies are void.
+//! Cache of one backend, and the events that invalidate cached entries.
 
 use crate::time::Time;
 use lru::LruCache;
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
-/// A request's key, as a number.
+/// Key of a request.
 pub type Key = u64;
 
-/// Which copy is dropped when room is wanted.
+/// Which entry is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EvictionPolicy {
-    /// The one used longest ago.
+    /// Least recently used.
     Lru,
-    /// The one stored longest ago.
+    /// First stored.
     Fifo,
 }
 
@@ -22,7 +22,7 @@
     size: u32,
 }
 
-/// The copies that one backend keeps.
+/// Cache of one backend.
 pub struct Cache {
     entries: LruCache<Key, Entry, FxBuildHasher>,
     eviction: EvictionPolicy,
@@ -31,12 +31,13 @@
 }
 
 impl Cache {
-    /// An empty memory of so many units of room. An object takes one or more.
+    /// Creates an empty cache of `capacity` units of object size.
     pub fn new(capacity: u64, eviction: EvictionPolicy) -> Self {
         Cache { entries: LruCache::unbounded_with_hasher(FxBuildHasher), eviction, capacity, used: 0 }
     }
 
-    /// Whether a copy that is not void is kept; a use of it, under [`EvictionPolicy::Lru`].
+    /// Whether a valid entry is cached. Counts as a use under [`EvictionPolicy::Lru`]; removes an invalid
+    /// entry.
     pub fn lookup(&mut self, now: Time, key: Key, validity: &Validity) -> bool {
         let entry = match self.eviction {
             EvictionPolicy::Lru => self.entries.get(&key),
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Whether a copy that is not void is kept, without using it.
+    /// Like [`Cache::lookup`], without counting as a use.
     pub fn peek(&self, now: Time, key: Key, validity: &Validity) -> bool {
         self.entries.peek(&key).is_some_and(|c| !validity.is_void(now, key, c.created_at))
     }
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Keeps a copy that the origin made at `made`. One larger than the whole memory is not kept.
+    /// Stores an entry that the origin produced at `created_at`. An object larger than the whole cache is not
+    /// stored.
     pub fn store(&mut self, key: Key, created_at: Time, size: u32) {
         self.remove(key);
         if u64::from(size) > self.capacity {
@@ -75,29 +77,29 @@
         self.entries.put(key, Entry { created_at, size });
     }
 
-    /// Forgets everything.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.used = 0;
     }
 
-    /// Units of room in use, and in all.
+    /// Used and total capacity, in units of object size.
     pub fn used(&self) -> (u64, u64) {
         (self.used, self.capacity)
     }
 
-    /// Copies kept, void ones that nobody asked for included.
+    /// Number of entries, including invalid ones that have not been looked up since.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no entry is stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// One spell in which a share of all keys went void.
+/// Invalidation of a random share of all keys.
 #[derive(Clone, Copy, Debug)]
 struct Flush {
     at: Time,
@@ -105,7 +107,7 @@
     salt: u64,
 }
 
-/// What makes kept copies void: writes, their time, and flushes. Common to all backends.
+/// Validity of cached entries, shared by all backends: writes, flushes and the time to live.
 #[derive(Default)]
 pub struct Validity {
     written: FxHashMap<Key, Time>,
@@ -113,21 +115,21 @@
     ttl: Option<Time>,
 }
 
-/// At most so many flushes are remembered: the oldest go, and with them what they voided long ago.
+/// Older flushes are forgotten.
 const MAX_FLUSHES: usize = 64;
 
 impl Validity {
-    /// Copies last for `keep`, or for ever.
+    /// Creates a state without invalidations. `ttl` is the time to live of entries; `None` for unlimited.
     pub fn new(ttl: Option<Time>) -> Self {
         Validity { ttl, ..Validity::default() }
     }
 
-    /// The key's value has changed: copies made before are void.
+    /// Records a write: entries created up to `now` are invalid.
     pub fn record_write(&mut self, now: Time, key: Key) {
         self.written.insert(key, now);
     }
 
-    /// The copies of this share of the keys go void at once.
+    /// Invalidates the entries of a random `share` of the keys, chosen by `salt`.
     pub fn flush(&mut self, now: Time, share: f64, salt: u64) {
         if self.flushes.len() == MAX_FLUSHES {
             self.flushes.remove(0);
@@ -135,7 +137,7 @@
         self.flushes.push(Flush { at: now, share, salt });
     }
 
-    /// Whether a copy made at `made` is void at `now`.
+    /// Whether an entry created at `created_at` is invalid at `now`.
     pub fn is_void(&self, now: Time, key: Key, created_at: Time) -> bool {
         self.ttl.is_some_and(|ttl| now >= created_at + ttl)
             || self.written.get(&key).is_some_and(|&at| created_at <= at)
@@ -143,7 +145,7 @@
     }
 }
 
-/// A number from 0 to 1 that a key stands for, evenly spread (the finisher of MurmurHash3).
+/// Maps a key to a uniformly distributed number in `[0, 1)` (finalizer of MurmurHash3).
 pub fn unit_hash(key: u64) -> f64 {
     let mut x = key ^ (key >> 33);
     x = x.wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -153,15 +155,14 @@
     (x >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The number of a key's text: 16 hexadecimal digits, as the lab's clients write a number, are that number; any other
-/// text is hashed (FNV-1a).
+/// Key for a text: 16 hexadecimal digits are read as a number, any other text is hashed with FNV-1a.
 pub fn key_from_text(text: &str) -> Key {
     let number = if text.len() == 16 { Key::from_str_radix(text, 16).ok() } else { None };
     let hash = |h: Key, byte| (h ^ Key::from(byte)).wrapping_mul(0x0100_0000_01b3);
     number.unwrap_or_else(|| text.bytes().fold(0xcbf2_9ce4_8422_2325, hash))
 }
 
-/// The popularity of keys: the `i`-th of `n` is asked for with a weight of `1 / (i + 1 + offset)^exponent`.
+/// Normalized Zipf-Mandelbrot weights: rank `i` of `n` has weight `1 / (i + 1 + offset)^exponent`.
 pub fn zipf_shares(n: usize, exponent: f64, offset: f64) -> Vec<f64> {
     let mut shares: Vec<f64> = (0..n).map(|i| (i as f64 + 1.0 + offset).powf(-exponent)).collect();
     let sum: f64 = shares.iter().sum();
@@ -169,9 +170,9 @@
     shares
 }
 
-/// Che's approximation for LRU: the hit rate of a memory of `capacity` objects under independent references
-/// with these shares. A key is kept if it was asked for within the characteristic time `t`, at which the
-/// expected number kept is `capacity` (Che, Tung, Wang, 2002).
+/// Hit rate of an LRU cache of `capacity` objects under independent references with these shares, by Che's
+/// approximation (Che, Tung, Wang, 2002): a key is cached if it was requested within the characteristic time
+/// `t`, at which the expected number of entries is `capacity`.
 pub fn che_hit_rate(shares: &[f64], capacity: f64) -> f64 {
     if capacity >= shares.len() as f64 {
         return 1.0;
@@ -180,7 +181,7 @@
     expected_hit_rate(shares, t)
 }
 
-/// The capacity at which Che's approximation gives this hit rate: its inverse, in objects.
+/// Capacity in objects at which [`che_hit_rate`] is `hit_rate`.
 pub fn che_capacity(shares: &[f64], hit_rate: f64) -> f64 {
     if hit_rate >= 1.0 {
         return shares.len() as f64;
@@ -197,7 +198,7 @@
     shares.iter().map(|p| p * (1.0 - (-p * t).exp())).sum()
 }
 
-/// The root of a rising function on times counted in requests.
+/// Root of an increasing function, by bisection.
 fn find_root(f: impl Fn(f64) -> f64) -> f64 {
     let (mut low, mut high) = (0.0, 1.0);
     while f(high) < 0.0 && high < 1e15 {
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -1,7 +1,7 @@
-//! Clients: who asks for what, when, for how long, and how often again.
+//! Clients: the requests they send, their timeouts and their retries.
 //!
-//! Arrivals are open: they do not wait for answers. They are drawn by thinning from a Poisson process of the
-//! day's highest rate (Lewis and Shedler, 1979).
+//! Arrivals are open-loop: they do not wait for responses. They are drawn by thinning from a Poisson
+//! process with the day's highest rate (Lewis and Shedler, 1979).
 
 use crate::cache::{zipf_shares, Key};
 use crate::spec::{self, Effect, Shape, Spec};
@@ -11,32 +11,32 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-/// One request, as a client means it. Its tries share all of this.
+/// One request of a client. All its attempts share these values.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its class.
+    /// Index of the class.
     pub class: u32,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: u32,
-    /// The client's zone.
+    /// Zone of the client.
     pub zone: u32,
-    /// Its key.
+    /// Requested key.
     pub key: Key,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// Its work at a backend, in microseconds of a standard core.
+    /// Work at a backend, in microseconds of a standard core.
     pub work: f64,
-    /// Its work at the origin.
+    /// Work at the origin, in microseconds of a standard core.
     pub fetch_work: f64,
-    /// Units of room that the object takes.
+    /// Object size, in cache units.
     pub size: u32,
-    /// When it was wanted.
+    /// Time of the first attempt.
     pub since: Time,
-    /// When the client gives it up for good.
+    /// Deadline, after which the client makes no further attempt.
     pub until: Time,
 }
 
-/// Keys that draw more than their share for a while.
+/// Keys that receive an extra share of the requests for a limited time.
 #[derive(Clone, Debug)]
 struct HotKeys {
     until: Time,
@@ -47,7 +47,7 @@
     salt: u64,
 }
 
-/// Draws the requests of a day.
+/// Generates the requests of a day.
 pub struct Workload {
     rng: ChaCha8Rng,
     shape: Shape,
@@ -79,22 +79,23 @@
     deadline: Time,
 }
 
-/// Keys wanted only once have numbers from here on, and drifted ones from there.
+/// First key of the ranges for keys that are requested once and for hot keys; all other keys are smaller.
 const SINGLE_USE_KEY_BASE: u64 = 1 << 60;
 const HOT_KEY_BASE: u64 = 1 << 59;
 
-/// A lognormal factor with mean 1 and this coefficient of variation.
+/// Lognormal distribution with mean 1 and coefficient of variation `cv`.
 pub fn unit_mean_lognormal(cv: f64) -> LogNormal<f64> {
     let sigma2 = (1.0 + cv * cv).ln();
-    LogNormal::new(-sigma2 / 2.0, sigma2.sqrt()).expect("a finite deviation")
+    LogNormal::new(-sigma2 / 2.0, sigma2.sqrt()).expect("the deviation is finite")
 }
 
 fn alias_index(weights: Vec<f64>) -> WeightedAliasIndex<f64> {
-    WeightedAliasIndex::new(weights).expect("checked: at least one weight, none negative, not all 0")
+    WeightedAliasIndex::new(weights)
+        .expect("a validated spec has weights that are not negative and not all 0")
 }
 
 impl Workload {
-    /// The demand of a checked spec, at `rate` first tries a second.
+    /// Creates the workload of a validated spec, with `rate` first attempts per second on average.
     pub fn new(spec: &Spec, rate: f64, seed: u64) -> Self {
         let classes: Vec<ClassDraw> = spec
             .classes
@@ -133,29 +134,30 @@
         }
     }
 
-    /// From now until then so many times the requests arrive.
+    /// Multiplies the arrival rate by `factor` between `from` and `until`.
     pub fn scale_rate(&mut self, from: Time, until: Time, factor: f64) {
         self.rate_factors.push((from, until, factor));
     }
 
-    /// From now until then `count` keys draw `share` of all, others every `every` if that is not 0.
+    /// Between `now` and `until`, directs `share` of the requests to `count` hot keys, which are replaced by
+    /// others every `rotation_period`; 0 keeps them.
     pub fn add_hot_keys(&mut self, now: Time, until: Time, count: u64, share: f64, rotation_period: Time) {
         let salt = HOT_KEY_BASE + ((self.hot.len() as u64) << 32);
         self.hot.push(HotKeys { until, count: count.max(1), share, rotation_period, since: now, salt });
     }
 
-    /// From now until then this share of the reads asks for keys that are wanted once.
+    /// Between `now` and `until`, directs `share` of the reads to keys that are requested only once.
     pub fn add_scan(&mut self, now: Time, until: Time, share: f64) {
         self.scans.push((now, until, share));
     }
 
-    /// The rate at a time, beside the mean rate.
+    /// Arrival rate at `now`, relative to the mean rate.
     fn rate_factor(&self, now: Time) -> f64 {
         let t = to_secs(now);
         let shape = match self.shape {
             Shape::Constant => 1.0,
             Shape::Wave => 1.0 + self.swing * (t * std::f64::consts::TAU / 20.0).sin(),
-            // Three seconds high, five low, with the same mean.
+            // Three seconds high and five low average to 1.
             Shape::Bursty if t % 8.0 < 3.0 => 1.0 + self.swing,
             Shape::Bursty => 1.0 - self.swing * 3.0 / 5.0,
         };
@@ -163,7 +165,7 @@
         shape * self.rate_factors.iter().filter(on).map(|f| f.2).product::<f64>()
     }
 
-    /// When the next request arrives after `now`.
+    /// Time of the first arrival after `now`.
     pub fn next_arrival(&mut self, now: Time) -> Time {
         let max_factor = (1.0 + self.swing) * self.rate_factors.iter().map(|f| f.2.max(1.0)).product::<f64>();
         let mut at = now as f64;
@@ -209,7 +211,7 @@
         self.key_of_rank[self.keys.sample(&mut self.rng)]
     }
 
-    /// The request that arrives at `now`.
+    /// Generates the request that arrives at `now`.
     pub fn generate(&mut self, now: Time) -> ClientRequest {
         self.replace_drifted_keys(now);
         let class = self.class_pick.sample(&mut self.rng);
@@ -233,40 +235,40 @@
     }
 }
 
-/// How a try ended, as its client sees it.
+/// Outcome of an attempt, as seen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A value or a receipt.
+    /// Answered with a value or a receipt.
     Answered,
-    /// Refused, with advice to stay away for so long (0: none).
+    /// Rejected, with a Retry-After of this length (0 for none).
     Rejected(Time),
-    /// Failed; it may have run.
+    /// Failed; it may have been executed.
     Failed,
-    /// Nothing, until the client gave this try up.
+    /// No response before the client's timeout.
     TimedOut,
-    /// The proxy could not be reached: it never ran.
+    /// The proxy could not be reached; the attempt was never executed.
     Unreachable,
 }
 
-/// What clients do after a failure.
+/// Timeouts and retries of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientBehaviour {
-    /// Tries beyond the first.
+    /// Retries after the first attempt.
     pub retries: u32,
-    /// A try is given up after this share of the class's time.
+    /// Range of an attempt's timeout, as a share of the class's deadline.
     pub attempt_timeout_share: (f64, f64),
-    /// The first wait; it doubles with each try.
+    /// Range of the first backoff; it doubles with each attempt.
     pub backoff: (Time, Time),
-    /// The share of clients that heed a retry-after.
+    /// Share of clients that honor a Retry-After.
     pub honors_retry_after_share: f64,
-    /// The longest that one is heeded.
+    /// Longest Retry-After that is honored in full.
     pub max_retry_after: Time,
-    /// The share of tries whose client leaves early.
+    /// Share of attempts that the client abandons before their timeout.
     pub early_leave_share: f64,
 }
 
 impl ClientBehaviour {
-    /// What a scenario file says of its clients.
+    /// Reads the behaviour from a scenario's clients section.
     pub fn new(clients: &spec::Clients) -> Self {
         ClientBehaviour {
             retries: clients.retries,
@@ -278,7 +280,8 @@
         }
     }
 
-    /// When the client gives up a try that it sends at `now`, and when it leaves before that, if it does.
+    /// Draws the timeout of an attempt sent at `now`, and the time at which the client abandons it earlier,
+    /// if it does.
     pub fn attempt_timeout(
         &self,
         request: &ClientRequest,
@@ -293,8 +296,8 @@
         (due, left)
     }
 
-    /// When the client tries again after hearing `heard` at `now`, if it does. `tries` were made, the first
-    /// that may have run at `risked`.
+    /// Time of the next attempt after `result` was received at `now`, or `None` for no retry. `attempts` have
+    /// been made; `first_risk` is the time of the first one that may have been executed.
     pub fn retry_at(
         &self,
         request: &ClientRequest,
--- a/model/src/discovery.rs
+++ b/model/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service: the list of backends, told late, by one queue of calls, or not at all while it is down.
+//! Discovery service: publishes endpoint updates with a delay, answers calls from a single queue and has
+//! outages.
 
 use crate::time::{rng, Purpose, Time};
 use rand::RngExt;
@@ -6,79 +7,79 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A server's number; the same for every proxy.
+/// Server number, the same for all proxies.
 pub type ServerId = u32;
 
-/// What a line says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     /// In service.
     Serving,
-    /// It finishes its work.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Gone; only among changes.
+    /// Removed; occurs only in updates.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The server.
+    /// Server number.
     pub server: ServerId,
-    /// Its kind of machine.
+    /// Index of the machine kind.
     pub kind: u32,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its listed size.
+    /// Listed size, a relative capacity.
     pub size: f64,
-    /// When it last started; 0 for long ago.
+    /// Time of the last start; 0 if it was running before the simulation began.
     pub started: Time,
-    /// What it is said to be.
+    /// Listed state.
     pub state: ListedState,
 }
 
-/// What one proxy is told.
+/// A message from the discovery service to a proxy.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// The whole list.
+    /// The complete endpoint list, in answer to a call.
     FullList(Rc<Vec<EndpointEntry>>),
-    /// Changes.
+    /// Changed entries.
     Changes(Rc<Vec<EndpointEntry>>),
-    /// A call failed or the watch ended.
+    /// A call failed or a watch ended.
     Error,
 }
 
-/// Something on its way from the discovery service to a proxy.
+/// An endpoint update on its way to a proxy.
 #[derive(Clone, Debug)]
 pub struct Delivery {
-    /// When the proxy hears it.
+    /// Time at which the proxy receives it.
     pub at: Time,
-    /// The proxy.
+    /// Receiving proxy.
     pub proxy: u32,
-    /// What it hears.
+    /// The update.
     pub update: EndpointUpdate,
 }
 
-/// The figures of the discovery service.
+/// Configuration of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// From a server's start until it is listed.
+    /// Delay from a server's start until it is listed.
     pub add_delay: Time,
-    /// From a server's drain or end until that is listed.
+    /// Delay from a server's drain or stop until that is listed.
     pub removal_delay: Time,
-    /// From a machine's falling silent until that is listed.
+    /// Delay from a machine going silent until that is listed.
     pub silent_removal_delay: Time,
-    /// Changes are published this often.
+    /// Interval at which changes are published.
     pub publish_period: Time,
-    /// And reach each watcher within this.
+    /// Longest delay from publication to a watching proxy.
     pub max_delivery_delay: Time,
-    /// What a call takes, and each line of its answer.
+    /// Time to answer a call, without the entries.
     pub call_time: Time,
-    /// What each line of an answer takes.
+    /// Additional time to answer a call, per entry.
     pub call_time_per_endpoint: Time,
-    /// A call that waits longer fails.
+    /// Longest time that a call may wait before it fails.
     pub call_timeout: Time,
 }
 
@@ -87,25 +88,25 @@
     config: Config,
     rng: ChaCha8Rng,
     endpoints: BTreeMap<ServerId, EndpointEntry>,
-    /// Changes by when they are listed.
+    /// Changes by the time at which they are listed.
     pending: BTreeMap<(Time, u64), EndpointEntry>,
-    /// Changes listed and not published.
+    /// Listed changes that have not been published yet.
     unpublished: Vec<EndpointEntry>,
     publish_at: Option<Time>,
     sequence: u64,
     watchers: BTreeSet<u32>,
-    /// Calls by when their answer is ready.
+    /// Calls by the time at which they are answered.
     pending_calls: BTreeMap<(Time, u64), u32>,
     queue_free_at: Time,
     down_until: Time,
-    /// When each proxy hears what it was told last: what is told later is heard later.
+    /// Time of the latest delivery to each proxy; later updates are delivered after it.
     last_delivery: BTreeMap<u32, Time>,
-    /// The whole list as it stands, once somebody has asked for it.
+    /// The current list, once it has been requested.
     cached_list: Option<Rc<Vec<EndpointEntry>>>,
 }
 
 impl Discovery {
-    /// A discovery service that holds these lines.
+    /// Creates a service that lists `endpoints`.
     pub fn new(config: Config, endpoints: impl IntoIterator<Item = EndpointEntry>, seed: u64) -> Self {
         Discovery {
             config,
@@ -124,13 +125,13 @@
         }
     }
 
-    /// The list as it stands.
+    /// The current endpoint list.
     pub fn list(&mut self) -> Rc<Vec<EndpointEntry>> {
         let endpoints = &self.endpoints;
         Rc::clone(self.cached_list.get_or_insert_with(|| Rc::new(endpoints.values().copied().collect())))
     }
 
-    /// A server has changed; `silent` if it said nothing as it went.
+    /// Schedules the listing of a changed server. `silent` selects the delay of a machine that went silent.
     pub fn schedule_change(&mut self, now: Time, endpoint: EndpointEntry, silent: bool) {
         let delay = match endpoint.state {
             _ if silent => self.config.silent_removal_delay,
@@ -141,12 +142,12 @@
         self.pending.insert((now + delay, self.sequence), endpoint);
     }
 
-    /// A silent machine is back before it was listed as gone: what was coming for it is not told.
+    /// Discards the unlisted changes of a server that is back before its removal was listed.
     pub fn discard_pending(&mut self, server: ServerId) {
         self.pending.retain(|_, endpoint| endpoint.server != server);
     }
 
-    /// It is down until `until`: watches end, and calls fail.
+    /// Starts an outage until `until`: watches end, and calls fail.
     pub fn fail_until(&mut self, now: Time, until: Time, deliveries: &mut Vec<Delivery>) {
         self.down_until = self.down_until.max(until);
         let pending_calls = std::mem::take(&mut self.pending_calls).into_values();
@@ -162,7 +163,8 @@
         deliveries.push(Delivery { at, proxy, update });
     }
 
-    /// A proxy asks to watch. The whole list comes once its turn is over; a call that waits too long fails.
+    /// A proxy calls to watch the list. It receives the full list once its call is answered; a call that
+    /// would wait too long fails.
     pub fn watch(&mut self, now: Time, proxy: u32, deliveries: &mut Vec<Delivery>) {
         let begin = self.queue_free_at.max(now);
         if now < self.down_until || begin > now + self.config.call_timeout {
@@ -175,26 +177,26 @@
         self.pending_calls.insert((self.queue_free_at, self.sequence), proxy);
     }
 
-    /// Whether a proxy watches or has a call out.
+    /// Whether a proxy watches or waits for the answer to a call.
     pub fn is_watching(&self, proxy: u32) -> bool {
         self.watchers.contains(&proxy) || self.pending_calls.values().any(|&p| p == proxy)
     }
 
-    /// A proxy is gone: its watch ends.
+    /// Ends the watch and the calls of a stopped proxy.
     pub fn remove_proxy(&mut self, proxy: u32) {
         self.watchers.remove(&proxy);
         self.pending_calls.retain(|_, p| *p != proxy);
         self.last_delivery.remove(&proxy);
     }
 
-    /// When it wants to be advanced next.
+    /// Time of the next call to [`Discovery::advance`], if one is due.
     pub fn wake_at(&self) -> Option<Time> {
         let listed = self.pending.first_key_value().map(|((at, _), _)| *at);
         let answered = self.pending_calls.first_key_value().map(|((at, _), _)| *at);
         listed.into_iter().chain(answered).chain(self.publish_at).min()
     }
 
-    /// Passes time up to `now`; appends what proxies are told.
+    /// Advances the clock to `now` and appends the updates sent to proxies.
     pub fn advance(&mut self, now: Time, deliveries: &mut Vec<Delivery>) {
         while let Some(entry) = self.pending.first_entry().filter(|e| e.key().0 <= now) {
             let endpoint = entry.remove();
--- a/model/src/faults.rs
+++ b/model/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, as data: kinds, their figures with bounds, and random days.
+//! Faults of a simulated day: their kinds and parameters, and random schedules.
 
 use rand::seq::{IndexedRandom, IteratorRandom};
 use rand::{Rng, RngExt};
@@ -6,20 +6,20 @@
 
 macro_rules! kinds {
     ($($variant:ident $name:literal $doc:literal),* $(,)?) => {
-        /// A kind of fault.
+        /// Kind of a fault.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
         pub enum FaultKind { $(#[doc = $doc] #[serde(rename = $name)] $variant,)* }
 
         impl FaultKind {
-            /// Every kind, in the order in which they are documented.
+            /// All kinds, in the order of the documentation.
             pub const ALL: &'static [FaultKind] = &[$(FaultKind::$variant,)*];
 
-            /// Its name in a scenario file.
+            /// Name in a scenario file.
             pub fn name(self) -> &'static str {
                 match self { $(FaultKind::$variant => $name,)* }
             }
 
-            /// What it does, in a sentence.
+            /// One-sentence description.
             pub fn description(self) -> &'static str {
                 match self { $(FaultKind::$variant => $doc,)* }
             }
@@ -28,52 +28,52 @@
 }
 
 kinds! {
-    NoisyNeighbor "neighbour" "On `part` of the workers another program takes `share` of the machine, `every_s` on and off.",
-    Flush "flush" "The kept copies of `share` of the keys go void at once.",
-    HotKey "hot-key" "`count` keys draw `share` of all reads and writes, others every `every_s` where that is not 0.",
-    Scan "scan" "`share` of the reads ask for keys that are wanted only once.",
-    LateReports "late-reports" "Load reports come `delay_s` later, with clocks off by up to `skew_s`.",
-    RateChange "rush" "`factor` times the usual requests arrive.",
-    Shrink "shrink" "Workers drain one after another until `part` of them are left; traffic falls as much.",
-    Grow "grow" "`count` new workers start, evenly over the time.",
-    KillBackends "kill-workers" "`count` workers die and start again `back_s` later, empty and cold; never, if that is 0.",
-    RestartBackends "restart-workers" "`count` workers drain for `every_s`, stop and start again `back_s` later, one after another.",
-    KillProxies "kill-proxies" "`count` proxies die with all that they had out and start again `back_s` later.",
-    RestartProxies "restart-proxies" "`count` proxies stop in order and start again `back_s` later, one after another.",
-    ZoneCut "zone-cut" "The zone numbered `zone` is cut off from the others, and healed.",
-    OriginStop "origin-stop" "The origin is stopped: what it had is lost, and new connections are refused.",
-    DiscoveryDown "registry-down" "The registry is down: watches end, and calls fail.",
-    StaleList "stale-list" "`count` proxies die and start again `back_s` later with a list that names `part` of the fleet and machines long gone.",
-    Silent "silent" "`count` machines of workers say nothing, and are back afterwards.",
-    ReuseAddress "readdress" "`count` workers vanish, and new ones with other numbers start at their addresses `back_s` later.",
+    NoisyNeighbor "neighbour" "On `part` of the backends, another program uses `share` of the CPU, alternating `every_s` on and off.",
+    Flush "flush" "Invalidates the cached entries of `share` of the keys at once.",
+    HotKey "hot-key" "`count` hot keys receive `share` of all requests; other keys are chosen every `every_s`, unless that is 0.",
+    Scan "scan" "`share` of the reads request keys that are used only once.",
+    LateReports "late-reports" "Load reports arrive `delay_s` later, with clocks skewed by up to `skew_s`.",
+    RateChange "rush" "Multiplies the request rate by `factor`.",
+    Shrink "shrink" "Backends drain one after another until `part` of them remain; the request rate falls in proportion.",
+    Grow "grow" "`count` new backends start, spread evenly over the duration.",
+    KillBackends "kill-workers" "`count` backends crash and restart `back_s` later, cold and with empty caches; 0 means never.",
+    RestartBackends "restart-workers" "`count` backends in turn drain for `every_s`, stop and restart `back_s` later.",
+    KillProxies "kill-proxies" "`count` proxies crash with their requests in flight and restart `back_s` later.",
+    RestartProxies "restart-proxies" "`count` proxies in turn stop gracefully and restart `back_s` later.",
+    ZoneCut "zone-cut" "Zone number `zone` is partitioned from the others for the duration.",
+    OriginStop "origin-stop" "The origin is down: its requests in flight are lost, and new connections are refused.",
+    DiscoveryDown "registry-down" "The discovery service is down: watches end, and calls fail.",
+    StaleList "stale-list" "`count` proxies crash and restart `back_s` later with a stale endpoint list: `part` of the fleet and servers that no longer exist.",
+    Silent "silent" "The machines of `count` backends go silent for the duration.",
+    ReuseAddress "readdress" "`count` backends disappear, and new ones with other server ids start at their addresses `back_s` later.",
 }
 
 macro_rules! parameters {
     ($($field:ident $variant:ident),* $(,)?) => {
-        /// A figure that faults may have.
+        /// Name of a fault parameter.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum ParameterName { $(#[doc = concat!("`", stringify!($field), "`.")] $variant,)* }
 
         impl ParameterName {
-            /// Its name in a scenario file.
+            /// Name in a scenario file.
             pub fn name(self) -> &'static str {
                 match self { $(ParameterName::$variant => stringify!($field),)* }
             }
         }
 
-        /// One fault of a schedule.
+        /// One scheduled fault.
         #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
         #[serde(deny_unknown_fields)]
         pub struct Fault {
-            /// What goes wrong.
+            /// Kind of the fault.
             pub kind: FaultKind,
-            /// When it begins, in seconds from the start of the day.
+            /// Start, in seconds from the start of the day.
             pub at_s: f64,
-            /// How long it lasts, in seconds.
+            /// Duration, in seconds; 0 for kinds without one.
             #[serde(default)]
             pub length_s: f64,
             $(
-                /// See [`FaultKind::description`]; the kind's usual figure where it is missing.
+                /// See [`FaultKind::description`]; the kind's default if missing.
                 #[serde(default, skip_serializing_if = "Option::is_none")]
                 pub $field: Option<f64>,
             )*
@@ -88,7 +88,7 @@
                 match field { $(ParameterName::$variant => self.$field = value,)* }
             }
 
-            /// The figures that the schedule gives it.
+            /// The parameters that the schedule sets.
             pub fn explicit_parameters(&self) -> Vec<(ParameterName, f64)> {
                 let mut all = Vec::new();
                 $(if let Some(value) = self.$field { all.push((ParameterName::$variant, value)); })*
@@ -103,17 +103,16 @@
     factor Factor,
 }
 
-/// A figure of a kind of fault: its usual value and the range that random days draw from, which is also the
-/// range that is allowed.
+/// Parameter of a fault kind, with its default and its allowed range, from which random schedules draw.
 #[derive(Clone, Copy, Debug)]
 pub struct Parameter {
-    /// Which one.
+    /// Which parameter.
     pub field: ParameterName,
-    /// Where the schedule does not say.
+    /// Value if the schedule sets none.
     pub default: f64,
-    /// The least.
+    /// Smallest allowed value.
     pub min: f64,
-    /// The most.
+    /// Largest allowed value.
     pub max: f64,
 }
 
@@ -122,7 +121,7 @@
 }
 
 impl FaultKind {
-    /// Its figures.
+    /// Parameters of this kind.
     pub fn parameters(self) -> &'static [Parameter] {
         use ParameterName::{Back, Count, Delay, Every, Factor, Part, Share, Skew, Zone};
         const NOISY_NEIGHBOR: &[Parameter] = &[
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Whether it lasts, rather than being over at once.
+    /// Whether faults of this kind have a duration.
     pub fn has_duration(self) -> bool {
         !matches!(
             self,
@@ -190,7 +189,7 @@
 }
 
 impl Fault {
-    /// A fault with its kind's usual figures.
+    /// Creates a fault with the default parameters of its kind.
     pub fn new(kind: FaultKind, at_s: f64, length_s: f64) -> Self {
         Fault {
             kind,
@@ -208,29 +207,32 @@
         }
     }
 
-    /// A figure, or its kind's usual one; 0 where the kind has none.
+    /// Value of a parameter: the scheduled one, else the kind's default, else 0.
     pub fn parameter_value(&self, field: ParameterName) -> f64 {
         let default = self.kind.parameters().iter().find(|f| f.field == field).map_or(0.0, |f| f.default);
         self.explicit(field).unwrap_or(default)
     }
 
-    /// What is wrong with it: a field's name and what it should be.
+    /// Checks the times and parameters. The error is the name of the field and the reason.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
         let name = self.kind.name();
         if !(0.0..=86_400.0).contains(&self.at_s) {
-            return Err(("at_s", format!("{} is no time of a day: 0 to 86400 is", self.at_s)));
+            return Err(("at_s", format!("{} is out of range: 0 to 86400 is allowed", self.at_s)));
         }
         if !(0.0..=86_400.0).contains(&self.length_s) {
-            return Err(("length_s", format!("{} is no length: 0 to 86400 is", self.length_s)));
+            return Err(("length_s", format!("{} is out of range: 0 to 86400 is allowed", self.length_s)));
         }
         if self.length_s == 0.0 && self.kind.has_duration() {
-            return Err(("length_s", format!("a `{name}` lasts: it needs a length")));
+            return Err(("length_s", format!("a `{name}` fault needs a length above 0")));
         }
         for (field, value) in self.explicit_parameters() {
             let Some(parameter) = self.kind.parameters().iter().find(|f| f.field == field) else {
                 let known: Vec<&str> = self.kind.parameters().iter().map(|f| f.field.name()).collect();
-                let known = if known.is_empty() { "no figures".to_owned() } else { known.join(", ") };
-                return Err((field.name(), format!("a `{name}` has no such figure; it has {known}")));
+                let known = if known.is_empty() { "none".to_owned() } else { known.join(", ") };
+                return Err((
+                    field.name(),
+                    format!("a `{name}` fault has no such parameter; it has {known}"),
+                ));
             };
             if !(parameter.min..=parameter.max).contains(&value) {
                 let problem =
@@ -241,7 +243,8 @@
         Ok(())
     }
 
-    /// A fault with half the figures of this one, for shrinking: each figure half way to its least.
+    /// Returns the fault with its length halved and each parameter moved half way to its minimum, for
+    /// shrinking schedules.
     pub fn milder(&self) -> Fault {
         let mut milder = self.clone();
         milder.length_s = (self.length_s / 2.0 * 10.0).ceil() / 10.0;
@@ -258,8 +261,10 @@
     }
 }
 
-/// A random schedule for a day of `length_s` seconds with so many backends, proxies and zones. Each day turns a
-/// random few of the kinds on (swarm testing: days with everything on hide what fewer faults would show).
+/// Random schedule for a day of `length_s` seconds; `sizes` are the numbers of backends, proxies and zones.
+///
+/// Each schedule enables only a few kinds (swarm testing), because a day with all kinds hides failures that
+/// fewer faults would show.
 pub fn random_schedule<R: Rng>(length_s: f64, sizes: (u32, u32, u32), rng: &mut R) -> Vec<Fault> {
     let (backends, proxies, zones) = sizes;
     let kind_count = rng.random_range(1..=4);
--- a/model/src/front.rs
+++ b/model/src/front.rs
@@ -1,20 +1,20 @@
-//! The front that deals clients out to the proxies of their zone, and notices a dead one only after a while.
+//! Load balancer in front of the proxies; it detects a stopped proxy only after a delay.
 
 use crate::time::Time;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// The front.
+/// Assigns clients to proxies, preferably in their own zone.
 pub struct Front {
     detection_delay: Time,
-    /// The proxies of each zone.
+    /// Proxies by zone.
     zones: Vec<Vec<u32>>,
-    /// Since when each does not run, if it does not.
+    /// Time since when each proxy has been stopped; `None` while it runs.
     down_since: Vec<Option<Time>>,
 }
 
 impl Front {
-    /// A front for proxies in these zones, all running.
+    /// Creates a load balancer for running proxies, given the zone of each.
     pub fn new(proxy_zones: impl IntoIterator<Item = u32>, detection_delay: Time) -> Self {
         let mut front = Front { detection_delay, zones: Vec::new(), down_since: Vec::new() };
         for (proxy, zone) in proxy_zones.into_iter().enumerate() {
@@ -26,20 +26,20 @@
         front
     }
 
-    /// A proxy's process has ended, or (`None`) is ready again.
+    /// Records that a proxy stopped at this time, or that it is ready (`None`).
     pub fn set_down_since(&mut self, proxy: u32, down_since: Option<Time>) {
         if let Some(entry) = self.down_since.get_mut(proxy as usize) {
             *entry = down_since;
         }
     }
 
-    /// The proxy that a client of this zone reaches: one of its zone that is believed to run, else one of
-    /// another. `None` where all are known to be dead.
+    /// Picks a proxy for a client of `zone`: a random one of that zone that appears to run, else one of any
+    /// zone. `None` if all are known to be stopped.
     pub fn pick(&self, now: Time, zone: u32, rng: &mut ChaCha8Rng) -> Option<u32> {
         let appears_up =
             |p: &&u32| self.down_since[**p as usize].is_none_or(|at| now < at + self.detection_delay);
         let local = self.zones.get(zone as usize).map_or(&[][..], |z| z);
-        // Nearly always the first one drawn is believed to run.
+        // Fast path: the first proxy drawn usually appears to run.
         if let Some(proxy) = local.choose(rng).filter(appears_up) {
             return Some(*proxy);
         }
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -1,19 +1,19 @@
-//! A model of the platform that the proxies serve: the other side of every decision.
+//! Simulation model of the platform around the proxies: clients, network, discovery service, cache backends
+//! and the origin.
 //!
-//! Each part is a state machine that is told the time with each call and does no I/O. None knows whether the
-//! time is real: the lab drives them in virtual time, and stand-ins on sockets can drive them by the clock.
-//! Nothing here knows the decision module.
+//! Each part is a state machine without I/O that receives the time with each call, so it runs in virtual
+//! time (the lab) as well as in real time (the testbed). The crate does not depend on the router.
 //!
-//! - [`station`]: cores shared by the requests in work, with a waiting room; a backend's and the origin's heart.
-//! - [`cache`]: what a backend keeps, and which kept copies are void.
-//! - [`overload`]: whether more was sent, over a window of time, than could be borne. [`slow_start`]: what the
-//!   settings allow a warming backend.
-//! - [`backend`] and [`origin`]: the machines. [`report`]: what they tell of their load, late and noisily.
-//! - [`discovery`]: the list of backends, as it is told: late, in turn, or not at all.
-//! - [`network`]: zones, links that may be cut, connections. [`front`]: which proxy a client reaches.
-//! - [`clients`]: who asks for what, when, for how long, and how often again.
-//! - [`faults`]: what goes wrong, as data, and random days of it.
-//! - [`spec`]: the figures of a whole world.
+//! - [`station`]: a multi-core server with a bounded queue, the basis of backends and the origin.
+//! - [`cache`]: the cache of a backend, and the validity of its entries.
+//! - [`overload`]: detects that more work was sent within a window than a machine can bear.
+//! - [`slow_start`]: the load that a warming backend may receive.
+//! - [`backend`] and [`origin`]: the servers. [`report`]: their load reports.
+//! - [`discovery`]: the endpoint list and its updates.
+//! - [`network`]: zones, links and pooled connections. [`front`]: the load balancer in front of the proxies.
+//! - [`clients`]: arrivals, timeouts and retries.
+//! - [`faults`]: kinds of faults and random schedules of them.
+//! - [`spec`]: the configuration of a simulated world.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/model/src/network.rs
+++ b/model/src/network.rs
@@ -1,4 +1,4 @@
-//! Zones and links, machines that fall silent, and the connections of proxies to servers.
+//! Zones and links, silent machines, and connections from proxies to servers.
 
 use crate::time::Time;
 use rand::RngExt;
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Delays between zones, and which links are cut.
+/// Delays and partitions between zones.
 pub struct Network {
     delay_within_zone: Time,
     delays: Vec<Vec<Time>>,
@@ -15,7 +15,8 @@
 }
 
 impl Network {
-    /// Zones with these one-way delays: within one, and between each two (drawn from the range).
+    /// Creates `zones` zones. One-way delays are fixed within a zone and drawn from `cross_range` between
+    /// two.
     pub fn new(
         zones: u32,
         delay_within_zone: Time,
@@ -33,7 +34,7 @@
         Network { delay_within_zone, delays, jitter, cut_links: BTreeSet::new() }
     }
 
-    /// Cuts a zone off from all others, or heals it.
+    /// Cuts all links of a zone to other zones, or restores them.
     pub fn set_zone_isolated(&mut self, zone: u32, isolated: bool) {
         for other in (0..self.delays.len() as u32).filter(|&o| o != zone) {
             let link = (zone.min(other), zone.max(other));
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Whether what is sent from one zone to another arrives.
+    /// Whether messages from one zone arrive in the other.
     pub fn is_reachable(&self, a: u32, b: u32) -> bool {
         a == b || !self.cut_links.contains(&(a.min(b), a.max(b)))
     }
 
-    /// The usual one-way delay.
+    /// One-way delay without jitter.
     pub fn base_delay(&self, a: u32, b: u32) -> Time {
         self.delays
             .get(a as usize)
@@ -59,19 +60,19 @@
             .unwrap_or(self.delay_within_zone)
     }
 
-    /// The one-way delay of one message.
+    /// Draws the one-way delay of one message.
     pub fn delay(&self, a: u32, b: u32, rng: &mut ChaCha8Rng) -> Time {
         let base_delay = self.base_delay(a, b) as f64;
         (base_delay * (1.0 + self.jitter * rng.random::<f64>())) as Time
     }
 }
 
-/// How a request gets a connection.
+/// How a request obtains its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// One with room is open.
+    /// An open connection has a free stream.
     Reused,
-    /// A new one has to be opened.
+    /// A new connection has to be opened.
     New,
 }
 
@@ -82,8 +83,8 @@
     last_used: Time,
 }
 
-/// The pooled connections of proxies to servers. Each carries so many requests at a time; one that nothing
-/// was sent on for the idle time is closed by the server.
+/// Connection pools of the proxies, one per server. A server closes the connections of a pool that is unused
+/// for the idle timeout.
 pub struct Connections {
     streams_per_connection: u32,
     idle_timeout: Time,
@@ -91,7 +92,7 @@
 }
 
 impl Connections {
-    /// Connections that carry `streams` requests each and close after `idle`.
+    /// Creates empty pools for connections with this many concurrent streams and this idle timeout.
     pub fn new(streams_per_connection: u32, idle_timeout: Time) -> Self {
         Connections {
             streams_per_connection: streams_per_connection.max(1),
@@ -100,8 +101,8 @@
         }
     }
 
-    /// A request takes its place on a connection. Says whether that is a new one, and how many were found
-    /// closed by the server for idleness.
+    /// Takes a stream for a request. Returns whether its connection is new, and how many connections the
+    /// server had closed for idleness.
     pub fn acquire(&mut self, now: Time, proxy: u32, server: u32) -> (Connection, u32) {
         let pool = self.pools.entry((proxy, server)).or_default();
         let mut closed = 0;
@@ -117,7 +118,7 @@
         (Connection::New, closed)
     }
 
-    /// A request's place is free again; `closed` if its connection was given up with it.
+    /// Returns a stream; `closed` if its connection was closed with it.
     pub fn release(&mut self, now: Time, proxy: u32, server: u32, closed: bool) {
         if let Some(pool) = self.pools.get_mut(&(proxy, server)) {
             pool.busy = pool.busy.saturating_sub(1);
@@ -126,12 +127,13 @@
         }
     }
 
-    /// A server's process has ended: all connections to it are gone.
+    /// Closes all connections to a stopped server.
     pub fn close_server(&mut self, server: u32) {
         self.pools.retain(|(_, m), _| *m != server);
     }
 
-    /// A proxy's process has ended. Gives back the machines that lost connections, and how many each, in order.
+    /// Closes all connections of a stopped proxy. Returns the affected servers with their connection counts,
+    /// sorted by server.
     pub fn close_proxy(&mut self, proxy: u32) -> Vec<(u32, u32)> {
         let mut lost: Vec<(u32, u32)> = Vec::new();
         self.pools.retain(|(p, m), pool| {
@@ -144,36 +146,36 @@
         lost
     }
 
-    /// Requests on connections of this proxy to this machine.
+    /// Streams in use from this proxy to this server.
     pub fn busy(&self, proxy: u32, server: u32) -> u32 {
         self.pools.get(&(proxy, server)).map_or(0, |p| p.busy)
     }
 
-    /// Pools kept.
+    /// Number of pools.
     pub fn pools(&self) -> usize {
         self.pools.len()
     }
 }
 
-/// Machines that say nothing while they are cut off, and until when.
+/// Machines that neither send nor receive, with the end of their silence.
 #[derive(Default)]
 pub struct SilentMachines {
     until: FxHashMap<u32, Time>,
 }
 
 impl SilentMachines {
-    /// The machine is silent until `until`.
+    /// Silences a machine until `until`, or longer if it already is.
     pub fn begin(&mut self, server: u32, until: Time) {
         let entry = self.until.entry(server).or_insert(0);
         *entry = (*entry).max(until);
     }
 
-    /// The machine can be heard again.
+    /// Ends the silence of a machine.
     pub fn end(&mut self, server: u32) {
         self.until.remove(&server);
     }
 
-    /// Whether the machine is silent.
+    /// Whether a machine is silent at `now`.
     pub fn is_silent(&self, server: u32, now: Time) -> bool {
         self.until.get(&server).copied().unwrap_or(0) > now
     }
--- a/model/src/origin.rs
+++ b/model/src/origin.rs
@@ -1,34 +1,34 @@
-//! The origin: slow, with a bounded queue, and stopped for seconds when it is sent far more than it can do.
+//! The origin: a slow store with a bounded queue that stops for a while when it is overloaded.
 
 use crate::overload::{Overload, OverloadDetector};
 use crate::station::{self, Finished, Job, Station};
 use crate::time::Time;
 
-/// The figures of the origin.
+/// Configuration of the origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Cores, slots, queue, crowding.
+    /// Cores, running and queued requests, contention.
     pub station: station::Config,
-    /// Sent more than this many times its capacity over `fall_time`, it stops.
+    /// The origin stops when it is sent more than this multiple of its capacity within `overload_window`.
     pub overload_multiple: f64,
-    /// The time over which that is counted.
+    /// Window over which the sent work is counted.
     pub overload_window: Time,
-    /// How long it stays down.
+    /// Duration of a stop caused by overload.
     pub outage: Time,
-    /// How often in a day it stops at most.
+    /// Largest number of stops caused by overload in a day.
     pub max_stops: u32,
-    /// Whether waiting work that nobody waits for is dropped.
+    /// Whether cancelled requests are removed from the queue.
     pub drops_cancelled: bool,
 }
 
-/// What became of a fetch or a write that reached the origin.
+/// Result of offering a fetch or a write to the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is being worked on or waits.
+    /// Running or queued.
     Accepted,
-    /// Turned away; it never ran.
+    /// Rejected without being executed: the queue is full.
     Full,
-    /// The origin stops under it. The host has to stop it.
+    /// The origin was sent too much. The caller has to stop it.
     Overloaded(Overload),
 }
 
@@ -39,12 +39,12 @@
     overload: OverloadDetector,
     stops: u32,
     down_until: Time,
-    /// It is as wide as it has to be, and does not stop: memories are being filled.
+    /// Whether the capacity is scaled up to fill caches; the origin then never stops by itself.
     scaled_up: bool,
 }
 
 impl Origin {
-    /// An origin at rest.
+    /// Creates an idle origin. `mean_work` sets the slack of the overload detector.
     pub fn new(config: Config, mean_work: f64) -> Self {
         Origin {
             station: Station::new(config.station, 1.0, 0),
@@ -60,8 +60,9 @@
         }
     }
 
-    /// So many times as wide from now on, at the same time for each request, and never stopping by itself: for
-    /// the time before a day in which memories fill. 1 makes it what its figures say. Advance to `now` first.
+    /// Multiplies cores and slots by `factor`, without making single requests faster. Factors above 1 are for
+    /// the warm-up before a day, and disable stops by overload; 1 restores the configuration.
+    /// The caller first advances the origin to `now`.
     pub fn scale_capacity(&mut self, factor: f64) {
         let config = self.config.station;
         self.scaled_up = factor > 1.0;
@@ -69,33 +70,34 @@
         self.overload.clear();
     }
 
-    /// Its station, to look at.
+    /// The station that processes requests.
     pub fn station(&self) -> &Station {
         &self.station
     }
 
-    /// Whether it is stopped.
+    /// Whether the origin is stopped.
     pub fn is_down(&self, now: Time) -> bool {
         now < self.down_until
     }
 
-    /// When it wants to be advanced next.
+    /// Time of the next call to [`Origin::advance`], if one is due.
     pub fn wake_at(&mut self) -> Option<Time> {
         self.station.wake_at()
     }
 
-    /// Passes time up to `now` and appends what was done.
+    /// Advances the clock to `now` and appends the finished requests to `done`.
     pub fn advance(&mut self, now: Time, done: &mut Vec<Finished>) {
         self.station.advance(now, done);
     }
 
-    /// Notes work that is due here for a read that a cold backend should have been sent.
+    /// Records the work that a read is expected to cause here because a share of the backends is cold.
     pub fn record_expected(&mut self, now: Time, expected: f64) {
         self.overload.record(now, self.config.station.cores, 0.0, 0.0, expected);
     }
 
-    /// A fetch or a write has come whole: its work, and the part that a cold backend's miss is to blame for.
-    /// Advance to `now` first.
+    /// Offers a completely received fetch or write. `attributed` is the part of its work caused by a miss on
+    /// a cold backend.
+    /// The caller first advances the origin to `now`.
     pub fn offer(&mut self, now: Time, job: Job, work: f64, attributed: f64) -> Admission {
         let capacity = self.config.station.cores;
         let overload = self.overload.record(now, capacity, work, attributed, 0.0);
@@ -108,12 +110,13 @@
         }
     }
 
-    /// Nobody waits for this any more. Work that has begun goes on.
+    /// Cancels a request; a running one is still processed. Returns whether it was dropped.
     pub fn cancel(&mut self, now: Time, job: Job) -> bool {
         self.config.drops_cancelled && self.station.cancel(now, job, false)
     }
 
-    /// Stops it until `until`, or for as long as its figures say; gives back what it had.
+    /// Stops the origin until `until`, or for the configured outage, and returns the requests that were in
+    /// flight.
     pub fn stop(&mut self, now: Time, until: Option<Time>) -> Vec<Job> {
         self.stops += u32::from(until.is_none());
         self.down_until = until.unwrap_or(now + self.config.outage).max(self.down_until);
--- a/model/src/overload.rs
+++ b/model/src/overload.rs
@@ -1,10 +1,10 @@
-//! Whether more was sent, over any window of a stated length, than could be borne: for a cold backend that
-//! falls over, and for the origin that stops.
+//! Detects that more work was sent within a sliding window than a machine can bear. Used for warming backends
+//! and for the origin.
 
 use crate::time::{Time, MS};
 use std::collections::VecDeque;
 
-/// Time is counted in steps of this length.
+/// Resolution of the sliding window.
 const BUCKET_LENGTH: Time = 50 * MS;
 
 #[derive(Clone, Copy, Default)]
@@ -16,31 +16,31 @@
     expected: f64,
 }
 
-/// Work sent against work that could be borne, over a sliding window.
+/// Compares sent work with capacity over a sliding window.
 pub struct OverloadDetector {
     window: Time,
     multiple: f64,
-    /// Work beyond the multiple that chance may bring.
+    /// Work allowed beyond the multiple of the capacity.
     slack: f64,
     buckets: VecDeque<Bucket>,
     sum: Bucket,
 }
 
-/// What a window came to when it was overdrawn. All in work, microseconds of a standard core.
+/// Sums over an overloaded window, in microseconds of a standard core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// Work sent within the window.
+    /// Work sent.
     pub sent: f64,
-    /// That part of it that somebody is to blame for.
+    /// Part of `sent` that the sender is responsible for.
     pub attributed: f64,
-    /// What could have been borne once, multiples apart.
+    /// Capacity of the window, without the allowed multiple.
     pub capacity: f64,
-    /// The work that was due here, if the caller said how much.
+    /// Work that was expected here, if the caller recorded any.
     pub expected: f64,
 }
 
 impl OverloadDetector {
-    /// Sent more than `multiple` times the capacity over `window`, and `slack` more, it is overdrawn.
+    /// Creates a detector that reports more than `multiple` times the capacity of `window` plus `slack`.
     pub fn new(window: Time, multiple: f64, slack: f64) -> Self {
         OverloadDetector { window, multiple, slack, buckets: VecDeque::new(), sum: Bucket::default() }
     }
@@ -56,7 +56,7 @@
             }
         }
         let mut from = self.buckets.back().map_or(at, |bucket| bucket.at + BUCKET_LENGTH);
-        // What was not asked about was idle, but able: it counts in full.
+        // Time without calls counts with full capacity.
         from = from.max((at + BUCKET_LENGTH).saturating_sub(self.window).min(at));
         while from <= at {
             let added = capacity * BUCKET_LENGTH as f64;
@@ -64,12 +64,13 @@
             self.sum.capacity += added;
             from += BUCKET_LENGTH;
         }
-        self.buckets.back_mut().expect("pushed above")
+        self.buckets.back_mut().expect("a bucket was pushed above")
     }
 
-    /// Counts `work` sent at `now`, while `capacity` microseconds of work are done in one; `blamed` of it is
-    /// somebody's fault and `due` of it was to be expected here. Says so if that overdraws the budget. The
-    /// budget of a whole window is granted from the start, as a burst may use it up at once.
+    /// Records `work` sent at `now`, while `capacity` is done per microsecond; `attributed` and `expected` as
+    /// in [`Overload`]. Returns the sums if the window is overloaded.
+    ///
+    /// The capacity of a whole window is available from the start, for bursts.
     pub fn record(
         &mut self,
         now: Time,
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Begins anew.
+    /// Forgets all recorded work.
     pub fn clear(&mut self) {
         self.buckets.clear();
         self.sum = Bucket::default();
--- a/model/src/report.rs
+++ b/model/src/report.rs
@@ -1,26 +1,26 @@
-//! Load reports: what a machine says of itself, refreshed now and then, late and a little noisy.
+//! Load reports of a machine: periodic, delayed and noisy.
 
 use crate::time::Time;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// One report.
+/// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// When it was made.
+    /// Creation time on the machine's clock.
     pub created_at: Time,
-    /// Requests a second.
+    /// Requests per second.
     pub qps: f64,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: f64,
-    /// How busy the cores are, 0 to 1.
+    /// CPU utilization, 0 to 1.
     pub util: f64,
-    /// Fetches out.
+    /// Fetches in flight.
     pub fetches: f64,
 }
 
-/// Makes reports of one machine and tells the one that is out.
+/// Creates the load reports of one machine and returns the latest visible one.
 pub struct Reporter {
     period: Time,
     delay: Time,
@@ -34,11 +34,12 @@
     period_start: Time,
 }
 
-/// Reports that are still on their way, at most.
+/// Older reports are dropped, even if they are not visible yet.
 const MAX_STORED_REPORTS: usize = 64;
 
 impl Reporter {
-    /// Reports every `period`, told `delay` later, each figure off by a share of up to `noise`.
+    /// Creates a reporter with one report per `period`, visible after `delay`; `noise` is the largest
+    /// relative error of each value.
     pub fn new(period: Time, delay: Time, noise: f64, now: Time) -> Self {
         Reporter {
             period: period.max(1),
@@ -54,13 +55,13 @@
         }
     }
 
-    /// From now on reports come this much later, and their clock is off by `skew` microseconds.
+    /// Delays reports by `extra_delay` and shifts their timestamps by `clock_skew` microseconds from now on.
     pub fn set_delay_fault(&mut self, extra_delay: Time, clock_skew: i64) {
         self.extra_delay = extra_delay;
         self.clock_skew = clock_skew;
     }
 
-    /// One more request has ended, while the cores were this busy.
+    /// Records a finished request and the CPU utilization at its end.
     pub fn record_request(&mut self, now: Time, error: bool, utilization: f64, rng: &mut ChaCha8Rng) {
         self.requests += 1;
         self.errors += u64::from(error);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The latest report that is out at `now`.
+    /// Latest report that is visible at `now`.
     pub fn latest_visible(&self, now: Time) -> Option<Report> {
         let is_visible = |r: &&Report| {
             r.created_at.saturating_add_signed(-self.clock_skew) + self.delay + self.extra_delay <= now
--- a/model/src/slow_start.rs
+++ b/model/src/slow_start.rs
@@ -1,39 +1,39 @@
-//! The slow-start budget: how much a warming backend may be sent over the whole fleet of proxies.
+//! Slow-start limit: the load that a warming backend may receive from all proxies together.
 //!
-//! The settings allow a backend that has just started so many requests of mean work in any span of the fall time:
-//! a multiple of what it can do while it warms up. Chance adds a few standard deviations, and beyond that the
-//! backend falls over. [`limit`] is the one definition of where that is.
+//! The settings allow a multiple of the backend's capacity in any window. A backend bears a few standard
+//! deviations more than that before it crashes; [`max_requests`] defines that limit.
 
 use crate::time::Time;
 use std::collections::VecDeque;
 
-/// Where fewer requests than this are allowed, chance counts for more.
+/// Below this many allowed requests, the limit adds more standard deviations.
 const SMALL_ALLOWANCE_REQUESTS: f64 = 30.0;
 
-/// The most requests of mean work that a warming backend bears in a span in which the settings allow it `allowed`.
+/// Largest number of requests of mean work that a warming backend bears in a window for which the settings
+/// allow `allowed`.
 pub fn max_requests(allowed: f64) -> f64 {
     let deviations = if allowed < SMALL_ALLOWANCE_REQUESTS { 3.0 } else { 2.0 };
     allowed + deviations * allowed.sqrt() + deviations
 }
 
-/// What the settings say of slow start, and the mean work of a request.
+/// Slow-start settings and the mean work of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// So many times what a backend can do is allowed.
+    /// Allowed multiple of the capacity.
     pub overload_multiple: f64,
-    /// The span over which requests are counted.
+    /// Window over which requests are counted.
     pub overload_window: Time,
-    /// The share of its capacity at which a backend starts.
+    /// Share of the full capacity right after a start.
     pub initial_capacity_share: f64,
-    /// The time over which its capacity rises to the full.
+    /// Time over which the capacity rises linearly to the full.
     pub warmup: Time,
-    /// The mean work of a request, in microseconds of a standard core.
+    /// Mean work of a request, in microseconds of a standard core.
     pub mean_work: f64,
 }
 
 impl Allowance {
-    /// The mean share of its capacity over the span that ends when a backend is of this age. What of the span lies
-    /// before its start counts as its first moment.
+    /// Mean capacity share over the window that ends at `age`. Time before the start counts like the first
+    /// moment.
     fn mean_capacity_share(&self, age: Time) -> f64 {
         let window = self.overload_window.max(1) as f64;
         let (to, from) = (age as f64, age.saturating_sub(self.overload_window) as f64);
@@ -41,32 +41,32 @@
         self.initial_capacity_share + rise * (to * to - from * from) / (2.0 * window)
     }
 
-    /// Requests of mean work that are allowed in the span that ends when a backend is of this age, if it does
-    /// `capacity` microseconds of work in one when warm.
+    /// Requests of mean work allowed in the window that ends at `age`. `capacity` is the backend's work per
+    /// microsecond when warm.
     pub fn requests(&self, capacity: f64, age: Time) -> f64 {
         self.overload_multiple * capacity * self.mean_capacity_share(age) * self.overload_window as f64
             / self.mean_work
     }
 }
 
-/// What a warming backend was sent in one span, in requests of mean work.
+/// Load on a warming backend in one window, in requests of mean work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLoad {
-    /// By all proxies.
+    /// From all proxies.
     pub total: f64,
-    /// By the proxies that had been notified of its start.
+    /// From proxies that had been notified of its start.
     pub notified: f64,
-    /// What the settings allowed.
+    /// Allowed by the settings.
     pub allowed: f64,
 }
 
 impl WindowLoad {
-    /// What notified proxies sent, as a share of the limit.
+    /// Load from notified proxies as a share of the limit.
     pub fn limit_share(&self) -> f64 {
         self.notified / max_requests(self.allowed)
     }
 
-    /// Whether all proxies together sent more than the limit.
+    /// Whether the load from all proxies exceeds the limit.
     pub fn exceeds_limit(&self) -> bool {
         self.total > max_requests(self.allowed)
     }
@@ -79,7 +79,7 @@
     notified: bool,
 }
 
-/// Counts what one backend is sent while it warms up, over every span of the fall time.
+/// Measures the load on one warming backend in every window.
 pub struct SlowStartMeter {
     allowance: Allowance,
     capacity: f64,
@@ -88,12 +88,14 @@
 }
 
 impl SlowStartMeter {
-    /// A meter for a backend that starts now and does `capacity` microseconds of work in one when warm.
+    /// Creates a meter for a backend that starts at `started` and does `capacity` work per microsecond when
+    /// warm.
     pub fn new(allowance: Allowance, capacity: f64, started: Time) -> Self {
         SlowStartMeter { allowance, capacity, started, window: VecDeque::new() }
     }
 
-    /// Work reaches the backend: what the span that ends now came to. `None` once the backend counts as warm.
+    /// Records work that arrives at `now` and returns the load of the window that ends then. `None` once the
+    /// backend is warm.
     pub fn record(&mut self, now: Time, work: f64, notified: bool) -> Option<WindowLoad> {
         let age = now.saturating_sub(self.started);
         if age >= self.allowance.warmup {
@@ -105,7 +107,7 @@
             self.window.pop_front();
         }
         self.window.push_back(Arrival { at: now, requests: work / self.allowance.mean_work, notified });
-        // Summed anew each time: a running sum would gather rounding errors, and a span holds few requests.
+        // Summed on each call, because a running sum accumulates rounding errors; a window has few requests.
         let sum = |of: fn(&Arrival) -> bool| self.window.iter().filter(|a| of(a)).map(|a| a.requests).sum();
         Some(WindowLoad {
             total: sum(|_| true),
--- a/model/src/spec/check.rs
+++ b/model/src/spec/check.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a spec: every figure is held against its range.
+//! Validation of a spec: checks each value against its allowed range.
 
 use super::{Backends, ClassSpec, Clients, EffectName, Keys, Load, OriginSpec, Rules, Spec, TenantSpec};
 
-/// Something wrong with a spec: the path of the field, such as `backends.count` or `class.0.share`, and why.
+/// An invalid value in a spec.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// Where.
+    /// Path of the field, such as `workers.count` or `class.0.share`.
     pub path: String,
-    /// Why, and what would do.
+    /// Why it is invalid and what is allowed.
     pub reason: String,
 }
 
-/// The problems found so far.
+/// Problems found so far.
 #[derive(Default)]
 struct Problems(Vec<Problem>);
 
@@ -20,7 +20,7 @@
         self.0.push(Problem { path: path.into(), reason: reason.into() });
     }
 
-    /// A figure has to be within a range.
+    /// Reports `value` unless it is between `min` and `max`, inclusive.
     fn require_range(&mut self, path: &str, value: f64, min: f64, max: f64) {
         if !(min..=max).contains(&value) {
             self.add(path, format!("{value} is out of range: {min} to {max} is allowed"));
@@ -29,7 +29,7 @@
 }
 
 impl Spec {
-    /// All that is wrong with it.
+    /// Returns all invalid values.
     pub fn validate(&self) -> Vec<Problem> {
         let mut problems = Problems::default();
         self.validate_fleet(&mut problems);
@@ -49,7 +49,7 @@
         problems.0
     }
 
-    /// The day's length and the size of the fleet.
+    /// Length of the day and size of the fleet.
     fn validate_fleet(&self, problems: &mut Problems) {
         problems.require_range("length_s", self.length_s, 1.0, 86_400.0);
         problems.require_range("warm_up_s", self.warm_up_s, 0.0, 3_600.0);
@@ -58,13 +58,13 @@
         problems.require_range("zones", self.zones.len() as f64, 1.0, 64.0);
     }
 
-    /// Some class and some tenant has to have a share.
+    /// At least one class and one tenant need a positive share.
     fn validate_shares(&self, problems: &mut Problems) {
         if self.classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-            problems.add("class", "the shares of all classes are 0: one has to be more");
+            problems.add("class", "all class shares are 0; at least one has to be above 0");
         }
         if self.tenants.iter().map(|t| t.share * t.usage).sum::<f64>() <= 0.0 {
-            problems.add("tenant", "no tenant uses any share: one has to");
+            problems.add("tenant", "share times usage is 0 for every tenant; at least one has to be above 0");
         }
     }
 
@@ -73,7 +73,7 @@
             if let Err((field, reason)) = fault.validate() {
                 problems.add(format!("fault.{i}.{field}"), reason);
             } else if fault.at_s >= self.length_s {
-                let reason = format!("{} is after the day's end at {}", fault.at_s, self.length_s);
+                let reason = format!("{} is not before the end of the day at {}", fault.at_s, self.length_s);
                 problems.add(format!("fault.{i}.at_s"), reason);
             }
         }
--- a/model/src/spec/classes.rs
+++ b/model/src/spec/classes.rs
@@ -1,20 +1,20 @@
-//! The classes and the tenants of a scenario file.
+//! Request classes and tenants of a scenario file.
 
 use super::Effect;
 use crate::time::ms;
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated, as a file words it.
+/// Effect of repeating a request, as named in a scenario file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EffectName {
-    /// Safe to repeat.
+    /// Idempotent.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Carries a key.
+    /// Deduplicated by key for `window_ms`.
     #[serde(rename = "keyed")]
     Deduplicated,
-    /// Must never run twice.
+    /// Must never be executed twice.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
@@ -23,38 +23,38 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its share of all requests, beside the others'.
+    /// Weight of this class among all requests.
     pub share: f64,
-    /// Its mean work at a backend, in milliseconds of a standard core.
+    /// Mean work at a backend, in milliseconds of a standard core.
     pub work_ms: f64,
-    /// How widely that varies.
+    /// Coefficient of variation of the work.
     #[serde(default)]
     pub work_cv: f64,
-    /// Wanted within.
+    /// Latency objective, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// Given up after.
+    /// Client deadline, in milliseconds.
     pub deadline_ms: f64,
-    /// What one is worth.
+    /// Priority weight of a request.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The share of the worth that an answer after the aim still earns.
+    /// Share of the weight that a response after the latency objective still earns.
     #[serde(default, rename = "late_worth")]
     pub late_value_share: f64,
-    /// What may be repeated.
+    /// Effect of repeating a request.
     pub effect: EffectName,
-    /// For how long repeats are dropped.
+    /// Deduplication window, in milliseconds.
     #[serde(default)]
     pub window_ms: f64,
-    /// Whether it writes.
+    /// Whether requests of this class are writes.
     #[serde(default)]
     pub write: bool,
 }
 
 impl ClassSpec {
-    /// What may be repeated.
+    /// Effect of repeating a request, with its deduplication window.
     pub fn effect(&self) -> Effect {
         match self.effect {
             EffectName::Idempotent => Effect::Idempotent,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The classes of a spec that names none.
+    /// Classes of a spec that lists none.
     pub(super) fn defaults() -> Vec<ClassSpec> {
         let class = |name: &str,
                      share,
@@ -95,16 +95,16 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share of the capacity.
+    /// Quota, as a share of the capacity that quotas divide.
     pub share: f64,
-    /// How much of its share it uses.
+    /// Demand relative to the quota.
     pub usage: f64,
 }
 
 impl TenantSpec {
-    /// The tenants of a spec that names none.
+    /// Tenants of a spec that lists none.
     pub(super) fn defaults() -> Vec<TenantSpec> {
         let tenant = |name: &str, share, usage| TenantSpec { name: name.to_owned(), share, usage };
         vec![
--- a/model/src/spec/derived.rs
+++ b/model/src/spec/derived.rs
@@ -1,31 +1,31 @@
-//! What follows from the figures of a spec: rates, capacities and sizes.
+//! Rates, capacities and sizes derived from a spec.
 
 use super::{ClassSpec, Spec};
 use crate::cache::{che_capacity, zipf_shares};
 use crate::time::{secs, Time};
 
 impl Spec {
-    /// The mean work of a request at a backend, in microseconds of a standard core. Writes take none there.
+    /// Mean work of a request at a backend, in microseconds of a standard core.
     pub fn mean_work(&self) -> f64 {
         let all: f64 = self.classes.iter().map(|c| c.share).sum();
         let work = |c: &ClassSpec| c.share * c.work_ms * 1e3;
         self.classes.iter().map(work).sum::<f64>() / all
     }
 
-    /// The share of requests that write.
+    /// Share of requests that are writes.
     pub fn write_share(&self) -> f64 {
         let all: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().filter(|c| c.write).map(|c| c.share).sum::<f64>() / all
     }
 
-    /// Work that all backends do in a microsecond when warm, as the spec's mean speeds have it.
+    /// Work per microsecond of all warm backends, by the mean speeds of the spec.
     pub fn fleet_capacity(&self) -> f64 {
         let backends = &self.backends;
         let speed = backends.speeds.0 * (1.0 - backends.slow_share) + backends.speeds.1 * backends.slow_share;
         f64::from(backends.count) * backends.cores * speed
     }
 
-    /// First tries a second, on average.
+    /// Mean rate of first attempts, per second.
     pub fn rate(&self) -> f64 {
         if self.load.rate > 0.0 {
             return self.load.rate;
@@ -33,12 +33,12 @@
         self.rate_at(self.load.share)
     }
 
-    /// First tries a second at this load.
+    /// Rate of first attempts per second at this load.
     pub fn rate_at(&self, load: f64) -> f64 {
         load * self.fleet_capacity() / self.mean_work() * 1e6
     }
 
-    /// Fetches and writes a second that the origin can do.
+    /// Fetches and writes per second that the origin can process.
     pub fn origin_capacity(&self) -> f64 {
         let defaults =
             if self.load.rate > 0.0 { self.load.rate } else { self.rate_at(self.origin.reference_load) };
@@ -46,15 +46,15 @@
         self.origin.headroom * defaults * ((1.0 - writes) * (1.0 - self.keys.hit_rate) + writes)
     }
 
-    /// Units of room of one backend's memory: the fleet's by Che's approximation at the hit rate that is
-    /// stated, shared out evenly. An object takes 8 units on average.
+    /// Cache capacity of one backend, in units of object size (8 per mean object): an even part of the
+    /// capacity at which one pooled cache has the stated hit rate, by Che's approximation.
     pub fn backend_memory(&self) -> u64 {
         let shares = zipf_shares(self.keys.count, self.keys.zipf, self.keys.offset);
         let objects = che_capacity(&shares, self.keys.hit_rate);
         (objects * 8.0 / f64::from(self.backends.count)).ceil().max(16.0) as u64
     }
 
-    /// When the scored part of the day begins and ends.
+    /// Start and end of the scored part of the day.
     pub fn scored(&self) -> (Time, Time) {
         (secs(self.warm_up_s), secs(self.warm_up_s + self.length_s))
     }
--- a/model/src/spec/mod.rs
+++ b/model/src/spec/mod.rs
@@ -1,5 +1,5 @@
-//! The figures of a whole world, as a scenario file gives them. What a file leaves out has the figures of a
-//! day like those the operators describe: 4 proxies, 14 backends, about 190 requests a second.
+//! Configuration of a simulated world, as read from a scenario file. Omitted fields have the defaults of a
+//! small fleet: 4 proxies, 14 backends, about 190 requests per second.
 
 use crate::backend::OnCancel;
 use crate::cache::EvictionPolicy;
@@ -14,29 +14,29 @@
 pub use check::Problem;
 pub use classes::{ClassSpec, EffectName, TenantSpec};
 
-/// What may be repeated, as the platform means it.
+/// Effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Idempotent.
     Idempotent,
-    /// Repeats are dropped for `window` after the first.
+    /// Duplicates within `window` of the first attempt are dropped.
     Deduplicated {
-        /// For how long.
+        /// Deduplication window.
         window: Time,
     },
-    /// Must never run twice.
+    /// Must never be executed twice.
     AtMostOnce,
 }
 
-/// How the rate moves about its mean.
+/// How the arrival rate varies around its mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// It does not.
+    /// Constant rate.
     Constant,
-    /// A sine of 20 s.
+    /// Sine with a period of 20 s.
     Wave,
-    /// Three seconds high, five low.
+    /// Alternates between 3 s high and 5 s low.
     Bursty,
 }
 
@@ -56,119 +56,120 @@
 }
 
 section! {
-    /// A whole world and its day.
+    /// A simulated world and its day.
     Spec {
-        /// What it is for, in a sentence.
+        /// One-sentence description.
         about: String = String::new(),
-        /// What the day's chance is drawn from.
+        /// Seed of all random numbers.
         seed: u64 = 1,
-        /// Seconds that are scored.
+        /// Length of the scored part, in seconds.
         length_s: f64 = 45.0,
-        /// Seconds before them in which memories fill; nothing is scored and no fault begins.
+        /// Warm-up before it, in seconds: caches fill, nothing is scored and no fault starts.
         warm_up_s: f64 = 15.0,
-        /// Proxies.
+        /// Number of proxies.
         proxies: u32 = 4,
-        /// Proxies handle what has come in once in so many milliseconds; 0 for at once.
+        /// Interval at which proxies process their input, in milliseconds; 0 for immediately.
         tick_ms: f64 = 5.0,
-        /// The names of the zones. Machines and proxies are dealt out to them in turn.
+        /// Names of the zones. Machines and proxies are assigned to them round-robin.
         zones: Vec<String> = ["zona-4", "mixco", "escuintla", "xela"].map(str::to_owned).to_vec(),
-        /// The cache backends.
+        /// Cache backends.
         #[serde(rename = "workers")]
         backends: Backends = Backends::default(),
         /// The origin.
         origin: OriginSpec = OriginSpec::default(),
-        /// How much is asked for.
+        /// Request rate.
         load: Load = Load::default(),
-        /// What is asked for.
+        /// Keys and objects.
         keys: Keys = Keys::default(),
-        /// Delays.
+        /// Network delays.
         network: NetworkSpec = NetworkSpec::default(),
-        /// The list of backends.
+        /// Discovery service.
         #[serde(rename = "registry")]
         discovery: DiscoverySpec = DiscoverySpec::default(),
-        /// The front.
+        /// Load balancer in front of the proxies.
         front: FrontSpec = FrontSpec::default(),
-        /// What clients do.
+        /// Timeouts and retries of clients.
         clients: Clients = Clients::default(),
-        /// The figures of the rules.
+        /// Rules that the simulator enforces and settings of the router.
         rules: Rules = Rules::default(),
-        /// The classes of request.
+        /// Request classes.
         #[serde(rename = "class")]
         classes: Vec<ClassSpec> = ClassSpec::defaults(),
-        /// The tenants.
+        /// Tenants.
         #[serde(rename = "tenant")]
         tenants: Vec<TenantSpec> = TenantSpec::defaults(),
-        /// What goes wrong.
+        /// Fault schedule.
         #[serde(rename = "fault")]
         faults: Vec<Fault> = Vec::new(),
     }
 }
 
 section! {
-    /// The cache backends.
+    /// Cache backends.
     Backends {
-        /// How many.
+        /// Number of backends.
         count: u32 = 14,
-        /// Cores of each.
+        /// Cores per backend.
         cores: f64 = 1.0,
-        /// The speed of a core of the fast kind beside a standard core, and of the slow kind.
+        /// Speed of a core of the fast kind and of the slow kind, relative to a standard core.
         speeds: (f64, f64) = (0.97, 0.6),
-        /// The share of the backends that are of the slow kind.
+        /// Share of the backends that are of the slow kind.
         slow_share: f64 = 0.46,
-        /// How far single backends differ from their kind (coefficient of variation).
+        /// Coefficient of variation of the speed within a kind.
         speed_cv: f64 = 0.1,
-        /// Requests in work at once, for each core.
+        /// Running requests per core, at most.
         slots: u32 = 16,
-        /// Requests that may wait.
+        /// Queued requests, at most.
         #[serde(rename = "room")]
         queue_capacity: u32 = 3,
-        /// Requests held from which a backend grows less efficient, and what each further one costs.
+        /// Requests in flight per core above which efficiency falls, and the cost of each further request.
         #[serde(rename = "crowding")]
         contention: (f64, f64) = (9.0, 0.08),
-        /// The share of its capacity at which a backend starts.
+        /// Share of the full capacity right after a start.
         #[serde(rename = "cold_from")]
         initial_capacity_share: f64 = 0.45,
-        /// Seconds until it is warm.
+        /// Warm-up time, in seconds.
         #[serde(rename = "cold_s")]
         warmup_s: f64 = 6.0,
-        /// The share of answers that are errors.
+        /// Share of responses that are errors.
         error_rate: f64 = 0.0005,
-        /// Which copy goes first.
+        /// Cache eviction policy.
         #[serde(rename = "evict")]
         eviction: EvictionPolicy = EvictionPolicy::Lru,
-        /// What becomes of work that nobody waits for.
+        /// How cancelled requests are treated.
         on_cancel: OnCancel = OnCancel::DropWaiting,
-        /// The most connections to one backend.
+        /// Connections to one backend, at most.
         connections: u32 = 750,
-        /// The share of its capacity that a full table of connections takes.
+        /// Share of the capacity lost when the maximum number of connections is open.
         #[serde(rename = "full_tax")]
         max_connection_overhead: f64 = 0.1,
-        /// Requests at a time on a connection.
+        /// Concurrent requests per connection.
         streams: u32 = 32,
-        /// Seconds after which an idle connection is closed.
+        /// Idle timeout of connections, in seconds.
         idle_s: f64 = 30.0,
-        /// What a new connection costs a backend, in milliseconds of a standard core.
+        /// Work of accepting a connection, in milliseconds of a standard core.
         handshake_ms: f64 = 1.9,
         /// Round trips of a handshake.
         handshake_trips: f64 = 2.5,
-        /// Milliseconds after which a connection that is not up never comes up.
+        /// Connect timeout, in milliseconds.
         connect_timeout_ms: f64 = 150.0,
-        /// Requests held, for each core, beyond which a backend chokes; 0 where none does.
+        /// Requests in flight per core above which a backend degrades; 0 disables degradation.
         #[serde(rename = "choke_at")]
         degraded_at: f64 = 0.0,
-        /// After holding so much for so many seconds.
+        /// How long it has to be above that, in seconds.
         #[serde(rename = "choke_over_s")]
         degraded_after_s: f64 = 2.0,
-        /// So many times slower it is then.
+        /// Divisor of the speed while degraded.
         #[serde(rename = "choke_slower")]
         degraded_slowdown: f64 = 2.8,
-        /// Until no more than this share of its cores is in use for so many seconds,
+        /// Share of the cores in use at which a degraded backend recovers, and for how many seconds it has to
+        /// stay there.
         #[serde(rename = "choke_rest")]
         degraded_recovery: (f64, f64) = (0.3, 3.0),
-        /// or for so many seconds in any case.
+        /// Longest degradation, in seconds.
         #[serde(rename = "choke_most_s")]
         max_degraded_s: f64 = 27.0,
-        /// Load reports: made every so many milliseconds, told so much later, off by this share.
+        /// Load reports: period and delay in milliseconds, and largest relative error.
         report_ms: (f64, f64, f64) = (520.0, 340.0, 0.04),
     }
 }
@@ -176,183 +177,186 @@
 section! {
     /// The origin.
     OriginSpec {
-        /// Fetches a second that it can do beside those that one pooled cache would leave at `usual_load`.
+        /// Capacity relative to the rate of fetches and writes that one pooled cache would leave at
+        /// `reference_load`.
         headroom: f64 = 1.75,
-        /// The load at which that is counted.
+        /// Load at which `headroom` is defined.
         #[serde(rename = "usual_load")]
         reference_load: f64 = 0.6,
-        /// What a fetch takes it, in milliseconds.
+        /// Mean work of a fetch, in milliseconds.
         fetch_ms: f64 = 54.0,
-        /// How widely that varies (coefficient of variation).
+        /// Coefficient of variation of that work.
         work_cv: f64 = 0.6,
-        /// What a write takes beside a fetch.
+        /// Work of a write relative to a fetch.
         write_work: f64 = 1.0,
-        /// Seconds of work that may wait.
+        /// Queue capacity, in seconds of work.
         queue_s: f64 = 1.5,
-        /// What crowding costs.
+        /// Cost of each request in flight beyond the slots.
         #[serde(rename = "crowding")]
         contention: f64 = 0.0,
-        /// Whether waiting work that nobody waits for is dropped.
+        /// Whether cancelled requests are removed from the queue.
         #[serde(rename = "drops_unwanted")]
         drops_cancelled: bool = true,
-        /// Sent more than this many times its capacity for `fall_s`, it stops.
+        /// The origin stops when it is sent more than this multiple of its capacity within
+        /// `overload_window_s`.
         #[serde(rename = "fall_multiple")]
         overload_multiple: f64 = 3.0,
-        /// The seconds over which that is counted.
+        /// Window over which the sent work is counted, in seconds.
         #[serde(rename = "fall_s")]
         overload_window_s: f64 = 3.0,
-        /// The seconds for which it stops.
+        /// Duration of a stop, in seconds.
         down_s: f64 = 5.0,
     }
 }
 
 section! {
-    /// How much is asked for.
+    /// Request rate.
     Load {
-        /// The mean load, as a share of the backends' cores: requests times their work over what they can do.
+        /// Mean load, as a share of the backends' capacity.
         share: f64 = 0.35,
-        /// First tries a second instead of a share, if it is not 0.
+        /// Mean first attempts per second; overrides `share` unless 0.
         rate: f64 = 0.0,
-        /// How the rate moves.
+        /// How the rate varies.
         shape: Shape = Shape::Wave,
-        /// How far.
+        /// Relative amplitude of that variation.
         swing: f64 = 0.25,
-        /// How much more every other zone asks than the rest.
+        /// Odd-numbered zones send this share more than the mean, even-numbered ones this share less.
         zone_skew: f64 = 0.15,
     }
 }
 
 section! {
-    /// What is asked for.
+    /// Keys and objects.
     Keys {
-        /// Keys in all.
+        /// Number of keys.
         count: usize = 500,
-        /// The exponent of their popularity.
+        /// Zipf exponent of the key popularity.
         zipf: f64 = 1.0,
-        /// What is added to a key's rank before that.
+        /// Offset added to the rank in the Zipf formula.
         offset: f64 = 3.0,
-        /// The share of the keys that are replaced by new ones every second.
+        /// Share of the keys replaced by new ones every second.
         drift: f64 = 0.008,
-        /// The share of reads that one pooled cache of the fleet's size would answer.
+        /// Hit rate of reads that one pooled cache of the fleet's size would have.
         #[serde(rename = "hits")]
         hit_rate: f64 = 0.92,
-        /// How widely objects differ in size (coefficient of variation).
+        /// Coefficient of variation of the object size.
         size_cv: f64 = 0.6,
-        /// Seconds for which a copy lasts; 0 for ever.
+        /// Time to live of cached entries, in seconds; 0 for unlimited.
         #[serde(rename = "keep_s")]
         ttl_s: f64 = 0.0,
     }
 }
 
 section! {
-    /// Delays. All one way, in milliseconds.
+    /// One-way network delays, in milliseconds.
     NetworkSpec {
         /// Within a zone.
         same_ms: f64 = 0.2,
-        /// Between zones, from and to.
+        /// Between two zones: range.
         cross_ms: (f64, f64) = (8.4, 16.0),
         /// Between clients and proxies.
         client_ms: f64 = 0.6,
-        /// How much longer a single message may take, as a share.
+        /// Largest additional delay of a message, as a share of its base delay.
         jitter: f64 = 0.2,
     }
 }
 
 section! {
-    /// The list of backends.
+    /// Discovery service.
     DiscoverySpec {
-        /// Seconds until a new backend is listed.
+        /// Delay until a new backend is listed, in seconds.
         #[serde(rename = "add_s")]
         add_delay_s: f64 = 1.2,
-        /// Seconds until a drain or an end is listed.
+        /// Delay until a drain or a stop is listed, in seconds.
         #[serde(rename = "notice_s")]
         removal_delay_s: f64 = 3.4,
-        /// Seconds until a silent machine is listed as gone.
+        /// Delay until a silent machine is listed as gone, in seconds.
         #[serde(rename = "silent_s")]
         silent_removal_delay_s: f64 = 9.0,
-        /// Changes are published every so many milliseconds.
+        /// Interval at which changes are published, in milliseconds.
         #[serde(rename = "period_ms")]
         publish_period_ms: f64 = 700.0,
-        /// And reach each proxy within so many.
+        /// Longest delay from publication to a proxy, in milliseconds.
         #[serde(rename = "spread_ms")]
         max_delivery_delay_ms: f64 = 85.0,
-        /// Milliseconds that a call takes, and that each line of its answer adds.
+        /// Time to answer a call and additional time per entry, in milliseconds.
         call_ms: (f64, f64) = (5.0, 0.02),
-        /// Milliseconds after which a waiting call fails.
+        /// Longest time that a call may wait, in milliseconds.
         timeout_ms: f64 = 1000.0,
-        /// Whether the list gives true speeds as sizes; 1 for all where not.
+        /// Whether listed sizes are the true speeds; otherwise all are 1.
         #[serde(rename = "tells_sizes")]
         lists_true_sizes: bool = false,
-        /// Seconds for which a proxy may go without asking.
+        /// Longest time between two calls of a proxy, in seconds.
         #[serde(rename = "ask_every_s")]
         poll_interval_s: f64 = 10.0,
     }
 }
 
 section! {
-    /// The front.
+    /// Load balancer in front of the proxies.
     FrontSpec {
-        /// Seconds until it notices that a proxy has died.
+        /// Delay until a stopped proxy is detected, in seconds.
         #[serde(rename = "notice_s")]
         detection_delay_s: f64 = 2.5,
     }
 }
 
 section! {
-    /// What clients do.
+    /// Timeouts and retries of clients.
     Clients {
-        /// Tries beyond the first.
+        /// Retries after the first attempt.
         retries: u32 = 2,
-        /// A try is given up after this share of the class's time, from and to.
+        /// Range of an attempt's timeout, as a share of the class's deadline.
         #[serde(rename = "try_share")]
         attempt_timeout_share: (f64, f64) = (0.5, 0.8),
-        /// The first wait, from and to; it doubles with each try.
+        /// Range of the first backoff, in milliseconds; it doubles with each attempt.
         backoff_ms: (f64, f64) = (15.0, 120.0),
-        /// The share that heeds a retry-after.
+        /// Share of clients that honor a Retry-After.
         #[serde(rename = "honour")]
         honors_retry_after_share: f64 = 0.85,
-        /// The longest retry-after that is heeded; 0 where clients get none.
+        /// Longest Retry-After, in milliseconds; 0 if clients receive none.
         #[serde(rename = "most_wait_ms")]
         max_retry_after_ms: f64 = 1000.0,
-        /// The share of tries whose client leaves early.
+        /// Share of attempts that the client abandons before their timeout.
         #[serde(rename = "impatient")]
         early_leave_share: f64 = 0.02,
     }
 }
 
 section! {
-    /// The figures of the rules and what the module is allowed.
+    /// Rules that the simulator enforces and settings of the router.
     Rules {
-        /// Attempts for one request.
+        /// Attempts per request, at most.
         max_attempts: u32 = 3,
-        /// Whether two attempts may be out at once.
+        /// Whether hedged requests are allowed.
         #[serde(rename = "second_copies")]
         hedging: bool = true,
         /// Whether attempts may be cancelled.
         may_cancel: bool = true,
-        /// Requests that a proxy may hold.
+        /// Requests in flight per proxy, at most.
         #[serde(rename = "most_held")]
         max_in_flight: u32 = 20_000,
-        /// An answer may come so much after the client's time.
+        /// Tolerance for answers after the client's timeout, in milliseconds.
         answer_slack_ms: f64 = 20.0,
-        /// So long after being told, a proxy may still send to a draining or gone backend.
+        /// How long a notified proxy may still send to a draining or removed backend, in milliseconds.
         drain_grace_ms: f64 = 1000.0,
-        /// Cold from, as a module is told; the true figure is no less.
+        /// Initial capacity share stated to the router; a lower bound of the true value.
         #[serde(rename = "cold_from")]
         initial_capacity_share: f64 = 0.31,
-        /// Warm after so many seconds, as a module is told; the true figure is no more.
+        /// Warm-up time stated to the router, in seconds; an upper bound of the true value.
         #[serde(rename = "cold_s")]
         warmup_s: f64 = 8.1,
-        /// Sent more than this many times its capacity for `fall_s`, a cold backend falls over.
+        /// A warming backend crashes when it is sent more than this multiple of its capacity within
+        /// `overload_window_s`.
         #[serde(rename = "fall_multiple")]
         overload_multiple: f64 = 4.0,
-        /// The seconds over which that is counted.
+        /// Window over which the sent work is counted, in seconds.
         #[serde(rename = "fall_s")]
         overload_window_s: f64 = 2.0,
-        /// What is beyond a tenant's share is worth so much beside the usual.
+        /// Relative value of requests beyond a tenant's quota.
         #[serde(rename = "over_share_worth")]
         over_quota_weight: f64 = 0.05,
-        /// Tenants' shares are of so much of the fleet's capacity.
+        /// Share of the fleet's capacity that quotas divide.
         quota_of_capacity: f64 = 0.82,
     }
 }
--- a/model/src/station.rs
+++ b/model/src/station.rs
@@ -1,56 +1,57 @@
-//! Cores shared by the requests in work, with a waiting room before them.
+//! Multi-core server with processor sharing and a bounded FIFO queue.
 //!
-//! Up to `slots` requests are in work at once and share `cores` evenly, each having one core at most; up to
-//! `room` more wait in order. With one slot this is the textbook M/G/1 queue, with as many slots as cores
-//! M/G/c, and with many slots processor sharing, by which the model is held against closed forms.
+//! Up to `slots` requests run at once and share `cores` evenly, with at most one core each; up to
+//! `queue_capacity` more wait in order. With one slot this is an M/G/1 queue, with as many slots as cores
+//! M/G/c, and with many slots processor sharing.
 
 use crate::time::{Time, NEVER};
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A request in a station, numbered by the caller; never reused.
+/// Request in a station, numbered by the caller. Numbers are not reused.
 pub type Job = u64;
 
-/// How crowding costs: with `n` requests held, efficiency is `1 / (1 + cost * (n - from))` beyond `from`.
+/// Contention overhead: with `n` requests in flight, efficiency is `1 / (1 + cost * (n - from))` above
+/// `from`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contention {
-    /// Requests held from which efficiency falls.
+    /// Requests in flight above which efficiency falls.
     pub from: f64,
-    /// What each further one costs, as a share; 0 for no cost.
+    /// Cost of each further request; 0 for none.
     pub cost: f64,
 }
 
-/// The figures of a station.
+/// Configuration of a station.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Requests in work at once, at most.
+    /// Largest number of running requests.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Largest number of queued requests.
     pub queue_capacity: usize,
-    /// What crowding costs.
+    /// Contention overhead.
     pub contention: Contention,
 }
 
-/// What became of an offered request.
+/// Result of offering a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in work or waits.
+    /// Running or queued.
     Accepted,
-    /// Slots and waiting room are full; it was not looked at.
+    /// Rejected: all slots and the queue are full.
     Full,
 }
 
-/// A request that has been worked off.
+/// A finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finished {
     /// The request.
     pub job: Job,
-    /// When it was offered.
+    /// Time at which it was offered.
     pub offered: Time,
-    /// When it was done.
+    /// Time at which it finished.
     pub at: Time,
 }
 
@@ -75,47 +76,47 @@
     running: bool,
 }
 
-/// What a station has seen: enough for Little's law, `mean_held = rate * mean_sojourn`.
+/// Totals of a station, sufficient for Little's law.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    /// Requests taken.
+    /// Accepted requests.
     pub taken: u64,
-    /// Requests turned away.
+    /// Rejected requests.
     pub turned_away: u64,
-    /// Requests worked off.
+    /// Finished requests.
     pub finished: u64,
-    /// Requests dropped before they were done.
+    /// Requests dropped before they finished.
     pub dropped: u64,
-    /// The time that all who left spent here, in microseconds.
+    /// Sum of the time that finished and dropped requests spent here, in microseconds.
     pub sojourn: u128,
-    /// The integral of requests held over time, in request-microseconds.
+    /// Integral of the requests in flight over time, in request-microseconds.
     pub held_time: u128,
     /// Work done, in microseconds of a standard core.
     pub work: f64,
 }
 
-/// Cores, slots and a waiting room.
+/// Multi-core server with a bounded queue.
 pub struct Station {
     config: Config,
-    /// Work that one core does in a microsecond, before crowding.
+    /// Work done per core and microsecond, without contention.
     speed: f64,
-    /// Work that each request in work has been given since the start.
+    /// Work that each running request has received since the station was last idle.
     attained: f64,
     now: Time,
     finish_queue: BinaryHeap<Reverse<(FinishAt, Job)>>,
     running: usize,
     waiting: VecDeque<(Job, f64)>,
     in_flight: FxHashMap<Job, Entry>,
-    /// Requests beyond what it takes since it was made smaller; they are done all the same.
+    /// Requests beyond the limits since the last [`Station::resize`]; they are still processed.
     excess_allowance: usize,
     tally: Tally,
 }
 
-/// Work this close to done is done: the rounding of one wake-up to whole microseconds.
+/// Remaining work below which a request is finished; wake-ups are rounded to whole microseconds.
 const WORK_TOLERANCE_US: f64 = 1e-6;
 
 impl Station {
-    /// An empty station whose cores do `pace` microseconds of work in a microsecond.
+    /// Creates an idle station whose cores do `speed` microseconds of work per microsecond.
     pub fn new(config: Config, speed: f64, now: Time) -> Self {
         Station {
             config,
@@ -131,32 +132,32 @@
         }
     }
 
-    /// Requests held, in work or waiting.
+    /// Running and queued requests.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Requests in work.
+    /// Running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// How busy the cores are, 0 to 1.
+    /// CPU utilization, 0 to 1.
     pub fn utilization(&self) -> f64 {
         (self.running as f64 / self.config.cores).min(1.0)
     }
 
-    /// What it has seen so far.
+    /// Totals since the station was created.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// The most that it may hold now.
+    /// Current limit on the requests in flight.
     pub fn max_in_flight(&self) -> usize {
         self.config.slots + self.config.queue_capacity + self.excess_allowance
     }
 
-    /// Work that each request in work is given in a microsecond.
+    /// Work that each running request receives per microsecond.
     fn service_rate(&self) -> f64 {
         if self.running == 0 {
             return 0.0;
@@ -195,14 +196,14 @@
                 self.finish_queue.push(Reverse((FinishAt(self.attained + work), job)));
             }
         }
-        // Guards against a sum that grows until single requests are lost in its rounding.
+        // Resets the sum while idle, to bound its rounding error.
         if self.running == 0 {
             self.attained = 0.0;
             self.finish_queue.clear();
         }
     }
 
-    /// Requests beyond slots and waiting room.
+    /// Requests in flight beyond slots and queue capacity.
     fn excess(&self) -> usize {
         self.in_flight.len().saturating_sub(self.config.slots + self.config.queue_capacity)
     }
@@ -215,8 +216,8 @@
         Some(entry)
     }
 
-    /// When the next request in work will be done if nothing else happens; `None` while nothing is or the
-    /// cores stand still. Call [`Station::advance`] then.
+    /// Time at which the next running request finishes, `None` if none runs or the speed is 0. The caller
+    /// then calls [`Station::advance`].
     pub fn wake_at(&mut self) -> Option<Time> {
         self.discard_dropped();
         let Reverse((FinishAt(target), _)) = *self.finish_queue.peek()?;
@@ -228,7 +229,7 @@
         Some(self.now + left.min((NEVER / 4) as f64) as Time)
     }
 
-    /// Passes time up to `now` and appends what was done, in the order of its ending.
+    /// Advances the clock to `now` and appends the finished requests to `done`, in order.
     pub fn advance(&mut self, now: Time, done: &mut Vec<Finished>) {
         while let Some(at) = self.wake_at().filter(|at| *at <= now) {
             self.elapse(at);
@@ -237,9 +238,9 @@
                     break;
                 }
                 self.finish_queue.pop();
-                // A request dropped while in work leaves its entry behind.
+                // A cancelled running request leaves its queue entry behind.
                 if self.in_flight.get(&job).is_some_and(|h| h.running) {
-                    let entry = self.remove(job, at).expect("looked up above");
+                    let entry = self.remove(job, at).expect("the request was looked up above");
                     self.tally.finished += 1;
                     done.push(Finished { job, offered: entry.offered, at });
                 }
@@ -249,9 +250,10 @@
         self.elapse(now);
     }
 
-    /// Offers a request of `work` microseconds of a standard core. Call [`Station::advance`] to `now` first.
+    /// Offers a request of `work` microseconds of a standard core. The caller first advances the station to
+    /// `now`.
     pub fn offer(&mut self, now: Time, job: Job, work: f64) -> Admission {
-        debug_assert!(now == self.now, "offered at {now}, advanced to {}", self.now);
+        debug_assert!(now == self.now, "offered at {now}, but advanced to {}", self.now);
         let must_wait = self.running >= self.config.slots;
         if must_wait
             && (self.waiting.len() >= self.config.queue_capacity || self.in_flight() >= self.max_in_flight())
@@ -266,8 +268,7 @@
         Admission::Accepted
     }
 
-    /// Nobody waits for this request any more: it is dropped if it waits, and if `also_running` also where it
-    /// is in work. Says whether it was.
+    /// Cancels a queued request, and a running one if `include_running`. Returns whether it was dropped.
     pub fn cancel(&mut self, now: Time, job: Job, include_running: bool) -> bool {
         let Some(entry) = self.in_flight.get(&job).copied() else { return false };
         if entry.running && !include_running {
@@ -280,13 +281,13 @@
         true
     }
 
-    /// Changes the pace from now on. Call [`Station::advance`] to `now` first.
+    /// Sets the speed from now on. The caller first advances the station to the current time.
     pub fn set_speed(&mut self, speed: f64) {
         self.speed = speed.max(0.0);
     }
 
-    /// Changes the cores and the slots from now on. Call [`Station::advance`] to `now` first. Requests in work
-    /// beyond the slots are done all the same.
+    /// Sets cores and slots from now on; running requests beyond the slots are still processed. The caller
+    /// first advances the station to the current time.
     pub fn resize(&mut self, cores: f64, slots: usize) {
         self.config.cores = cores;
         self.config.slots = slots;
@@ -294,7 +295,7 @@
         self.start_waiting();
     }
 
-    /// Drops everything, as when a process dies; gives back what was held, in order of the job's number.
+    /// Drops all requests, as when the process dies, and returns them sorted by number.
     pub fn clear(&mut self, now: Time) -> Vec<Job> {
         let mut jobs: Vec<Job> = self.in_flight.keys().copied().collect();
         jobs.sort_unstable();
--- a/model/src/time.rs
+++ b/model/src/time.rs
@@ -1,57 +1,57 @@
-//! Times, and the random sources that a world draws from.
+//! Simulated time and random number streams.
 
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A time on the world's clock, or a duration, in whole microseconds.
+/// Time since the start of the simulation, or a duration, in microseconds.
 pub type Time = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Time = 1_000;
-/// A second.
+/// One second.
 pub const S: Time = 1_000_000;
-/// Never: later than any time of a day.
+/// Later than any time of a day.
 pub const NEVER: Time = Time::MAX;
 
-/// Milliseconds as a [`Time`]. What is negative or no number becomes 0.
+/// Converts milliseconds to a [`Time`]; negative values and NaN become 0.
 pub fn ms(t: f64) -> Time {
     (t * 1e3).round().max(0.0) as Time
 }
 
-/// Seconds as a [`Time`]. What is negative or no number becomes 0.
+/// Converts seconds to a [`Time`]; negative values and NaN become 0.
 pub fn secs(t: f64) -> Time {
     (t * 1e6).round().max(0.0) as Time
 }
 
-/// A [`Time`] in seconds.
+/// Converts a [`Time`] to seconds.
 pub fn to_secs(t: Time) -> f64 {
     t as f64 / 1e6
 }
 
-/// What a random source is for. Each has a stream of its own, so that a change to one part of a day moves no
-/// draw of another: two policies on one seed see the same arrivals.
+/// Purpose of a random number stream. Streams are independent, so a change to one part of a day does not
+/// alter the draws of another: two policies with one seed see the same arrivals.
 #[derive(Clone, Copy, Debug)]
 #[repr(u64)]
 pub enum Purpose {
-    /// Speeds, sizes and zones of the machines.
+    /// Speeds, sizes and zones of machines.
     Machines = 1,
     /// Arrivals, keys and work.
     Demand = 2,
-    /// Delays and noise on the way.
+    /// Network delays and jitter.
     Network = 3,
-    /// What clients do after a failure.
+    /// Timeouts and retries of clients.
     Clients = 4,
-    /// Errors and noise in the machines.
+    /// Errors and report noise of machines.
     Service = 5,
-    /// Random days of faults.
+    /// Random fault schedules.
     Faults = 6,
-    /// Seeds handed to the decision modules.
+    /// Seeds of the routers.
     Modules = 7,
-    /// The discovery service's delays.
+    /// Delays of the discovery service.
     Discovery = 8,
 }
 
-/// The random source for one purpose of one seed.
+/// Random number stream for one purpose, derived from `seed`.
 pub fn rng(seed: u64, purpose: Purpose) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(purpose as u64);
--- a/model/tests/arithmetic.rs
+++ b/model/tests/arithmetic.rs
@@ -1,5 +1,5 @@
-//! The model held against arithmetic that nobody here invented. Each table names its formula and tolerance;
-//! seeds are fixed, so the verdict is the same every time.
+//! Checks the model against closed-form results of queueing and caching theory. Each test states its formula
+//! and tolerance; seeds are fixed.
 
 use notchdoor_model::cache::{che_capacity, che_hit_rate, zipf_shares, Cache, EvictionPolicy, Validity};
 use notchdoor_model::clients::{
@@ -13,7 +13,7 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-/// How long a request's work is, beside a mean of 1.
+/// Distribution of the work of a request, with mean 1.
 #[derive(Clone, Copy)]
 enum Work {
     Exponential,
@@ -21,10 +21,11 @@
     LogNormal(LogNormal<f64>),
 }
 
-/// The mean work in these queues, in microseconds.
+/// Mean work of a request, in microseconds.
 const MEAN: f64 = 10_000.0;
 
-/// A station under Poisson arrivals at `rho` of its capacity; the tally, the time it ran, and arrivals.
+/// Runs a station with Poisson arrivals at `rho` of its capacity. Returns its tally, the elapsed time and the
+/// number of arrivals.
 fn queue(cores: f64, slots: usize, room: usize, rho: f64, work: Work, n: u64) -> (Tally, Time, u64) {
     let config = Config { cores, slots, queue_capacity: room, contention: Contention::default() };
     let mut station = Station::new(config, 1.0, 0);
@@ -49,7 +50,7 @@
     (station.tally(), now as Time, n)
 }
 
-/// Erlang's C: the chance that an arrival at M/M/c waits.
+/// Erlang C: probability that an arrival at M/M/c waits.
 fn erlang_c(c: u32, rho: f64) -> f64 {
     let a = rho * f64::from(c);
     let term = |k: u32| (1..=k).fold(1.0, |t, i| t * a / f64::from(i));
@@ -61,10 +62,10 @@
 fn sojourn_times_are_those_of_the_textbook_queues() {
     const ROOM: usize = 1_000_000;
     let wide = Work::LogNormal(unit_mean_lognormal(1.5));
-    // Pollaczek and Khinchine: W = S + rho S (1 + cv^2) / (2 (1 - rho)).
+    // Pollaczek-Khinchine: W = S + rho S (1 + cv^2) / (2 (1 - rho)).
     let pk = |rho: f64, cv: f64| 1.0 + rho * (1.0 + cv * cv) / (2.0 * (1.0 - rho));
     let mmc = |c: u32, rho: f64| 1.0 + erlang_c(c, rho) / (f64::from(c) * (1.0 - rho));
-    // name, cores, slots, rho, work, the mean sojourn in units of the mean work, tolerance
+    // name, cores, slots, rho, work, mean sojourn in units of the mean work, tolerance
     let cases = [
         ("M/M/1", 1.0, 1, 0.3, Work::Exponential, pk(0.3, 1.0), 0.02),
         ("M/M/1", 1.0, 1, 0.7, Work::Exponential, pk(0.7, 1.0), 0.03),
@@ -74,7 +75,7 @@
         ("M/G/1", 1.0, 1, 0.6, wide, pk(0.6, 1.5), 0.05),
         ("M/M/2", 2.0, 2, 0.8, Work::Exponential, mmc(2, 0.8), 0.04),
         ("M/M/8", 8.0, 8, 0.85, Work::Exponential, mmc(8, 0.85), 0.04),
-        // Processor sharing: 1 / (1 - rho), whatever the work is like.
+        // Processor sharing: 1 / (1 - rho) for any distribution of the work.
         ("M/M/1-PS", 1.0, ROOM, 0.7, Work::Exponential, 1.0 / 0.3, 0.04),
         ("M/D/1-PS", 1.0, ROOM, 0.7, Work::Fixed, 1.0 / 0.3, 0.04),
         ("M/G/1-PS", 1.0, ROOM, 0.6, wide, 1.0 / 0.4, 0.05),
@@ -84,7 +85,7 @@
         assert_eq!((tally.finished, tally.turned_away), (n, 0), "{name}");
         let mean = tally.sojourn as f64 / n as f64 / MEAN;
         let off = (mean / expected - 1.0).abs();
-        assert!(off < tolerance, "{name} at {rho}: {mean:.3} where {expected:.3} is due, off by {off:.3}");
+        assert!(off < tolerance, "{name} at {rho}: {mean:.3} expected {expected:.3}, off by {off:.3}");
     }
 }
 
@@ -94,12 +95,12 @@
         [(1.0, 1, 5, 0.9), (2.0, 16, 3, 1.4), (4.0, 4, 0, 0.6), (1.0, 24, 3, 0.95)]
     {
         let (tally, ran, _) = queue(cores, slots, room, rho, Work::Exponential, 50_000);
-        // L T = the sum of the sojourns, exactly: both count the same request-microseconds.
+        // Exact, because both sides count the same request-microseconds.
         assert_eq!(tally.held_time, tally.sojourn, "cores {cores}, slots {slots}");
         let (l, lambda) = (tally.held_time as f64 / ran as f64, tally.finished as f64 / ran as f64);
         let w = tally.sojourn as f64 / tally.finished as f64;
         assert!((l / (lambda * w) - 1.0).abs() < 1e-9);
-        // And no more work is done than cores can do.
+        // The work done does not exceed the capacity of the cores.
         assert!(tally.work <= cores * ran as f64 * (1.0 + 1e-9));
     }
 }
@@ -113,13 +114,13 @@
             if rho == 1.0 { 1.0 / f64::from(k + 1) } else { power * (1.0 - rho) / (1.0 - power * rho) };
         let (tally, _, n) = queue(1.0, 1, k as usize - 1, rho, Work::Exponential, 200_000);
         let blocked = tally.turned_away as f64 / n as f64;
-        assert!((blocked - expected).abs() < 0.006, "K {k}, rho {rho}: {blocked:.4}, due {expected:.4}");
+        assert!((blocked - expected).abs() < 0.006, "K {k}, rho {rho}: {blocked:.4}, expected {expected:.4}");
     }
 }
 
 #[test]
 fn lru_hit_rates_are_che_s() {
-    // keys, exponent, offset, objects kept, tolerance
+    // keys, exponent, offset, capacity in objects, tolerance
     for (n, exponent, offset, capacity, tolerance) in [
         (1_000, 0.8, 0.0, 100, 0.01),
         (1_000, 1.0, 3.0, 200, 0.01),
@@ -142,7 +143,7 @@
         let (rate, expected) = (f64::from(hits) / f64::from(scored), che_hit_rate(&shares, capacity as f64));
         assert!(
             (rate - expected).abs() < tolerance,
-            "{n} keys, {capacity} kept: {rate:.4}, due {expected:.4}"
+            "{n} keys, {capacity} cached: {rate:.4}, expected {expected:.4}"
         );
         let back = che_capacity(&shares, expected);
         assert!((back / capacity as f64 - 1.0).abs() < 1e-6, "the inverse gives {back}");
@@ -179,20 +180,20 @@
     }
     assert!(memory.lookup(2 * S, 7, &truth));
     truth.record_write(2 * S, 7);
-    assert!(!memory.peek(2 * S, 7, &truth), "a copy made before the write");
+    assert!(!memory.peek(2 * S, 7, &truth), "an entry created before the write");
     memory.store(7, 3 * S, 2);
-    assert!(memory.lookup(3 * S, 7, &truth), "a copy made after it");
+    assert!(memory.lookup(3 * S, 7, &truth), "an entry created after the write");
     truth.flush(4 * S, 0.6, 99);
     let kept = (0..50).filter(|k| memory.lookup(4 * S, *k, &truth)).count();
-    assert!((10..30).contains(&kept), "about two in five are left: {kept}");
-    assert!((0..50).all(|k| !memory.lookup(14 * S, k, &truth)), "none outlasts its time");
+    assert!((10..30).contains(&kept), "about two in five remain valid: {kept}");
+    assert!((0..50).all(|k| !memory.lookup(14 * S, k, &truth)), "no entry outlives its ttl");
     memory.store(1, 0, 101);
-    assert_eq!(memory.used().0, 0, "what is larger than the memory is not kept");
+    assert_eq!(memory.used().0, 0, "an object larger than the cache is not stored");
 }
 
 #[test]
 fn retries_multiply_as_their_closed_form_says() {
-    // Each try fails with chance p: mean tries are (1 - p^(R+1)) / (1 - p).
+    // Each attempt fails with probability p: the mean number of attempts is (1 - p^(R+1)) / (1 - p).
     for (retries, p) in [(0u32, 0.5f64), (2, 0.3), (2, 0.9), (5, 0.7)] {
         let behaviour = ClientBehaviour {
             retries,
@@ -222,7 +223,10 @@
             }
         }
         let (mean, expected) = (tries as f64 / f64::from(n), (1.0 - p.powi(retries as i32 + 1)) / (1.0 - p));
-        assert!((mean / expected - 1.0).abs() < 0.02, "R {retries}, p {p}: {mean:.3}, due {expected:.3}");
+        assert!(
+            (mean / expected - 1.0).abs() < 0.02,
+            "R {retries}, p {p}: {mean:.3}, expected {expected:.3}"
+        );
     }
 }
 
@@ -252,7 +256,7 @@
         early_leave_share: 0.0,
     };
     let keyed = Effect::Deduplicated { window: 2 * S };
-    // effect, heard, tries made, first risk, now, when again
+    // effect, result, attempts made, first risk, now, expected time of the retry
     let cases = [
         (Effect::Idempotent, AttemptResult::Failed, 1, Some(0), 0, Some(100 * MS)),
         (Effect::Idempotent, AttemptResult::TimedOut, 2, Some(0), 0, Some(200 * MS)),
@@ -268,13 +272,13 @@
         (keyed, AttemptResult::Failed, 1, Some(0), S, Some(S + 100 * MS)),
         (keyed, AttemptResult::Failed, 1, Some(0), 2 * S, None),
         (keyed, AttemptResult::Failed, 1, Some(0), 1_950 * MS, None),
-        // Beyond the time that the client has.
+        // Past the client's deadline.
         (Effect::Idempotent, AttemptResult::Failed, 2, None, 3_900 * MS, None),
     ];
     let mut rng = rng(1, Purpose::Clients);
     for (effect, heard, tries, risked, now, expected) in cases {
         let again = behaviour.retry_at(&request(0, 4 * S), effect, (heard, tries), risked, now, &mut rng);
-        assert_eq!(again, expected, "{effect:?} {heard:?} after {tries} tries at {now}");
+        assert_eq!(again, expected, "{effect:?} {heard:?} after {tries} attempts at {now}");
     }
 }
 
@@ -288,7 +292,7 @@
         let (mut now, mut n, mut rushed, mut writes) = (0, 0u32, 0u32, 0u32);
         loop {
             now = demand.next_arrival(now);
-            // Whole periods of the shape on both sides.
+            // Both halves are whole periods of the shape.
             if now >= 160 * S {
                 break;
             }
@@ -309,7 +313,8 @@
 
 #[test]
 fn an_overload_budget_breaks_at_its_multiple_and_not_before() {
-    // Sent `rate` times a capacity of 1 in steps of 10 ms against a multiple of 4 over 2 s.
+    // Sends `rate` times a capacity of 1 in steps of 10 ms; the detector allows 4 times the capacity over 2
+    // s.
     for (rate, breaks) in [(1.0, false), (3.9, false), (4.3, true), (8.0, true)] {
         let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
         let first = (0..400u64).find_map(|i| {
@@ -318,16 +323,19 @@
         });
         assert_eq!(first.is_some(), breaks, "{rate}");
         if let Some((now, over)) = first {
-            // The whole window's budget is there from the start: 8 s of work, spent at this rate.
+            // The capacity of a whole window is available from the start: 8 s of work, spent at this rate.
             let due = 8.0 / rate * S as f64;
-            assert!((now as f64 / due - 1.0).abs() < 0.06, "{rate}: at {now}, due {due}");
+            assert!((now as f64 / due - 1.0).abs() < 0.06, "{rate}: at {now}, expected {due}");
             assert!(over.sent > 4.0 * over.capacity);
         }
     }
-    // What is long past does not count, and blame is told apart.
+    // Work outside the window does not count, and attributed work is summed separately.
     let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
     assert!(budget.record(0, 1.0, 7.9e6, 7.9e6, 0.0).is_none());
-    assert!(budget.record(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(), "a window later");
+    assert!(
+        budget.record(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(),
+        "a window later, the first work no longer counts"
+    );
     let over = budget.record(3 * S + 100 * MS, 1.0, 1e6, 1e6, 0.0).unwrap();
     assert!((over.attributed - 1e6).abs() < 1.0 && (over.sent - 8.9e6).abs() < 1.0, "{over:?}");
 }
--- a/model/tests/choke.rs
+++ b/model/tests/choke.rs
@@ -1,4 +1,4 @@
-//! A backend that holds too much for too long turns slow, and stays so until it has rested.
+//! Degradation of a backend after sustained overload, and its recovery.
 
 use notchdoor_model::backend::{Admission, Backend, Config, Degradation, OnCancel};
 use notchdoor_model::cache::{EvictionPolicy, Validity};
@@ -40,7 +40,7 @@
     backend
 }
 
-/// Offers reads of 100 ms so often for so long; when the last of them was done.
+/// Offers reads of 100 ms at a fixed interval. Returns the time at which the last one finished.
 fn load(backend: &mut Backend, from: Time, every: Time, length: Time) -> Time {
     let (mut done, truth) = (Vec::new(), Validity::new(None));
     for n in 0..length / every {
@@ -58,17 +58,17 @@
 #[test]
 fn it_chokes_on_what_it_holds_for_too_long_and_recovers_once_it_has_rested() {
     let mut w = backend();
-    // Four cores do 40 a second: 25 a second never wait.
+    // Four cores process 40 reads per second, so 25 per second never wait.
     load(&mut w, S, 40 * MS, 5 * S);
     assert!(!w.is_degraded());
-    // 100 a second hold more than two for each core within a moment, and do so for over a second.
+    // 100 per second quickly exceed two per core, and stay there for more than a second.
     let end = load(&mut w, 10 * S, 10 * MS, 2 * S);
     assert!(w.is_degraded());
-    // 200 reads take 5 s unchoked; choked from about a second on, three times as long for what was left then.
+    // 200 reads take 5 s at full speed; after about one second the remainder takes three times as long.
     assert!((20 * S..26 * S).contains(&end), "done at {end}");
     let mut none = Vec::new();
     w.advance(end + S, &mut none);
-    assert!(w.is_degraded(), "it has not rested for long enough");
+    assert!(w.is_degraded(), "idle for less than the recovery time");
     w.advance(end + 4 * S, &mut none);
     w.advance(end + 7 * S, &mut none);
     assert!(!w.is_degraded());
--- a/model/tests/machines.rs
+++ b/model/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines, the discovery service, the network and the front: what each does when, as tables.
+//! Backends, load reports, discovery service, network, front load balancer and station.
 
 use notchdoor_model::backend::{Admission, Backend, Config, OnCancel, State};
 use notchdoor_model::cache::{EvictionPolicy, Validity};
@@ -33,7 +33,7 @@
     Backend::new(config, Reporter::new(500 * MS, 300 * MS, 0.0, 0), 40_000.0)
 }
 
-/// Runs a backend until it rests; when each request was done.
+/// Runs a backend until it is idle. Returns the finish time of each request.
 fn rest(backend: &mut Backend) -> Vec<(u64, Time)> {
     let mut done = Vec::new();
     while let Some(at) = backend.wake_at() {
@@ -49,9 +49,9 @@
     w.store(7, 0, 8);
     assert_eq!(w.offer(0, 1, 7, 10_000.0, false, &truth), Admission::Accepted);
     assert_eq!(w.offer(0, 2, 7, 10_000.0, false, &truth), Admission::Accepted);
-    // Turned away unseen: it is not said whether the key is kept.
+    // Rejected before the key is looked up.
     assert_eq!(w.offer(0, 3, 8, 10_000.0, false, &truth), Admission::Full);
-    // Half the speed of a standard core, one after another.
+    // Half the speed of a standard core, one request after the other.
     assert_eq!(rest(&mut w), [(1, 20_000), (2, 40_000)]);
 }
 
@@ -62,7 +62,7 @@
     for job in 1..=3 {
         w.offer(0, job, 7, 10_000.0, false, &truth);
     }
-    assert!(!w.cancel(0, 1), "it is in work");
+    assert!(!w.cancel(0, 1), "running requests are not dropped");
     assert!(w.cancel(0, 2) && !w.cancel(0, 2));
     assert_eq!(rest(&mut w), [(1, 20_000), (3, 40_000)]);
 }
@@ -78,15 +78,19 @@
     w.advance(2 * S, &mut done);
     assert!((w.capacity_share(2 * S) - 0.4).abs() < 1e-9 && (w.capacity_share(6 * S) - 0.7).abs() < 1e-9);
     assert_eq!(w.capacity_share(10 * S), 1.0);
-    assert_eq!(w.offer(2 * S, 1, 7, 1_000.0, true, &truth), Admission::Miss, "it is empty");
-    // 0.5 x 0.4 of a core for 2 s, four times over, and a little for chance: 1.6 s of work and 0.16.
+    assert_eq!(
+        w.offer(2 * S, 1, 7, 1_000.0, true, &truth),
+        Admission::Miss,
+        "the cache is empty after a start"
+    );
+    // Capacity 0.5 x 0.4 of a core over 2 s, times 4, is 1.6 s of work; the slack is 0.16 s.
     let sent = (0..).map(|n| (n, w.offer(2 * S, 10 + n, 7, 40_000.0, n % 4 != 0, &truth)));
     let (n, over) = sent
         .filter_map(|(n, taken)| if let Admission::Overloaded(over) = taken { Some((n, over)) } else { None })
         .next()
         .unwrap();
-    assert!((42..46).contains(&n), "at the {n}th");
-    assert!((over.attributed / over.sent - 0.75).abs() < 0.03, "three in four were sent by those who knew");
+    assert!((42..46).contains(&n), "overloaded at request {n}");
+    assert!((over.attributed / over.sent - 0.75).abs() < 0.03, "three in four came from notified proxies");
 }
 
 #[test]
@@ -99,7 +103,7 @@
     w.advance(S, &mut done);
     w.offer(S, 1, 7, 1_000_000.0, false, &truth);
     let (_, at) = rest(&mut w)[0];
-    // Work done by t is 0.5 (0.4 t + 0.6 t^2 / 16): 1 s of it takes 3.710 s.
+    // Work done by t is 0.5 (0.4 t + 0.6 t^2 / 16); 1 s of work takes 3.710 s.
     let took = (at - S) as f64 / 1e6;
     assert!((took - 3.710).abs() < 0.02, "{took}");
 }
@@ -129,7 +133,7 @@
     let report = reporter.latest_visible(800 * MS).unwrap();
     assert!((report.qps - 100.0).abs() < 1e-9 && (report.eps - 10.0).abs() < 1e-9, "{report:?}");
     reporter.set_delay_fault(2 * S, 0);
-    assert_eq!(reporter.latest_visible(1_299 * MS), None, "what was out is late now");
+    assert_eq!(reporter.latest_visible(1_299 * MS), None, "visible reports are delayed as well");
     assert!(reporter.latest_visible(3_300 * MS).is_some_and(|r| r.created_at == S));
 }
 
@@ -148,7 +152,7 @@
     call_timeout: S,
 };
 
-/// Runs a discovery service until `until`; what it told.
+/// Runs a discovery service until `until`. Returns its deliveries.
 fn told(discovery: &mut Discovery, until: Time) -> Vec<Delivery> {
     let mut out = Vec::new();
     while let Some(at) = discovery.wake_at().filter(|at| *at <= until) {
@@ -164,7 +168,7 @@
     for proxy in 0..15 {
         r.watch(0, proxy, &mut out);
     }
-    // One queue: the eleventh would wait a whole second, the twelfth longer.
+    // Calls are answered one by one: the eleventh waits a full second, the twelfth would wait longer.
     assert_eq!(out.iter().filter(|t| matches!(t.update, EndpointUpdate::Error)).count(), 4);
     let lists = told(&mut r, 2 * S);
     assert_eq!(lists.len(), 11);
@@ -179,10 +183,10 @@
     };
     let (server, state, at) = first(0);
     assert_eq!((server, state), (1, ListedState::Draining));
-    assert!((5 * S..5_600 * MS).contains(&at), "3 s late, published on the next half second: {at}");
+    assert!((5 * S..5_600 * MS).contains(&at), "listed after 3 s, published at the next half second: {at}");
     let (server, state, at) = first(11);
     assert_eq!((server, state), (2, ListedState::Gone));
-    assert!((11 * S..11_600 * MS).contains(&at), "a silent machine is noticed later: {at}");
+    assert!((11 * S..11_600 * MS).contains(&at), "a silent machine is listed as gone later: {at}");
     assert_eq!(r.list().len(), 1);
 }
 
@@ -200,14 +204,14 @@
     r.watch(2 * S, 0, &mut out);
     assert!(matches!(out[1], Delivery { update: EndpointUpdate::Error, at, .. } if at >= 3 * S));
     r.schedule_change(S, line(2, ListedState::Serving), false);
-    assert!(told(&mut r, 5 * S).is_empty(), "nobody watches");
+    assert!(told(&mut r, 5 * S).is_empty(), "no proxy watches");
     r.watch(5 * S, 0, &mut out);
     let whole = told(&mut r, 6 * S);
     assert!(
         matches!(&whole[0].update, EndpointUpdate::FullList(l) if l.len() == 2),
-        "what was missed is in the list"
+        "the list includes missed changes"
     );
-    // One that is back before it was listed as gone is not told gone.
+    // A server that is back before its removal was listed is not reported as gone.
     r.schedule_change(6 * S, line(1, ListedState::Gone), true);
     r.discard_pending(1);
     assert!(told(&mut r, 60 * S).is_empty());
@@ -218,7 +222,7 @@
     let mut c = Connections::new(2, 10 * S);
     let takes = |c: &mut Connections, now| c.acquire(now, 0, 5);
     assert_eq!(takes(&mut c, 0), (Connection::New, 0));
-    assert_eq!(takes(&mut c, 0), (Connection::Reused, 0), "two at a time on each");
+    assert_eq!(takes(&mut c, 0), (Connection::Reused, 0), "two streams per connection");
     assert_eq!(takes(&mut c, 0), (Connection::New, 0));
     for _ in 0..3 {
         c.release(S, 0, 5, false);
@@ -228,7 +232,11 @@
     c.release(5 * S, 0, 5, false);
     assert_eq!(takes(&mut c, 20 * S), (Connection::New, 2), "both were closed for idleness");
     c.release(20 * S, 0, 5, true);
-    assert_eq!(takes(&mut c, 20 * S), (Connection::New, 0), "one given up is not used again");
+    assert_eq!(
+        takes(&mut c, 20 * S),
+        (Connection::New, 0),
+        "a connection closed by its request is not reused"
+    );
     c.acquire(0, 1, 5);
     assert_eq!(c.close_proxy(0), [(5, 1)]);
     c.close_server(5);
@@ -276,8 +284,8 @@
     assert_eq!(picks(&front, 0, 0), [Some(0), Some(2)]);
     assert_eq!(picks(&front, 0, 1), [Some(1)]);
     front.set_down_since(1, Some(S));
-    assert_eq!(picks(&front, 2 * S, 1), [Some(1)], "not noticed yet");
-    assert_eq!(picks(&front, 3 * S, 1), [Some(0), Some(2)], "others take its zone");
+    assert_eq!(picks(&front, 2 * S, 1), [Some(1)], "not detected yet");
+    assert_eq!(picks(&front, 3 * S, 1), [Some(0), Some(2)], "proxies of other zones serve the zone");
     front.set_down_since(0, Some(S));
     front.set_down_since(2, Some(S));
     assert_eq!(picks(&front, 9 * S, 0), [None]);
@@ -285,12 +293,12 @@
     assert_eq!(picks(&front, 9 * S, 0), [Some(2)]);
 }
 
-/// Guards a bound that random days found broken: an origin that has just been made smaller holds more than fits.
+/// Guards against a station that exceeds its limit right after its capacity was reduced.
 #[test]
 fn a_station_made_smaller_finishes_what_it_has_and_takes_nothing_more() {
     let config =
         station::Config { cores: 8.0, slots: 8, queue_capacity: 2, contention: Contention::default() };
-    // With somebody waiting when it is made smaller, and with nobody.
+    // With and without queued requests at the time of the reduction.
     for held in [10, 8] {
         let mut s = Station::new(config, 1.0, 0);
         assert!((0..held).all(|job| s.offer(0, job, 1_000.0) == station::Admission::Accepted));
@@ -305,7 +313,7 @@
         assert_eq!(
             (done.len(), s.max_in_flight()),
             (held as usize, 3),
-            "the bound is the new one once they are done"
+            "the reduced limit applies once the excess is done"
         );
     }
 }
--- a/model/tests/slow_start.rs
+++ b/model/tests/slow_start.rs
@@ -1,9 +1,9 @@
-//! The slow-start limit and its meter, against figures worked out by hand.
+//! Slow-start limit and meter, checked against values computed by hand.
 
 use notchdoor_model::slow_start::{max_requests, Allowance, SlowStartMeter};
 use notchdoor_model::time::{ms, S};
 
-/// Four times the capacity over 2 s, from a third of it up to all within 8 s.
+/// Four times the capacity over 2 s, from a quarter of the capacity up to the full within 8 s.
 fn allowance() -> Allowance {
     Allowance {
         overload_multiple: 4.0,
@@ -16,18 +16,18 @@
 
 #[test]
 fn chance_counts_for_more_where_few_requests_are_allowed() {
-    // allowed, limit: N + 2 sqrt(N) + 2, and under 30 N + 3 sqrt(N) + 3
+    // allowed, limit: N + 2 sqrt(N) + 2; below 30, N + 3 sqrt(N) + 3
     let cases = [(0.0, 3.0), (1.0, 7.0), (16.0, 31.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)];
     for (allowed, most) in cases {
         assert!((max_requests(allowed) - most).abs() < 1e-9, "{allowed}: {}", max_requests(allowed));
     }
-    assert!((max_requests(30.0) - (32.0 + 2.0 * 30_f64.sqrt())).abs() < 1e-9, "30 are no longer few");
+    assert!((max_requests(30.0) - (32.0 + 2.0 * 30_f64.sqrt())).abs() < 1e-9, "30 is not a small allowance");
     assert!(max_requests(29.999) > max_requests(30.0));
 }
 
 #[test]
 fn what_is_allowed_rises_with_the_mean_capacity_of_the_span() {
-    // age in ms; the mean share of the capacity over the 2 s before; 4 x 2 s / 40 ms = 200 requests at the full
+    // age in ms, mean capacity share over the 2 s before; 4 x 2 s / 40 ms = 200 requests at full capacity
     let cases =
         [(0, 0.25), (1_000, 0.25 + 0.75 / 8.0 * 0.25), (2_000, 0.25 + 0.75 / 8.0), (8_000, 1.0 - 0.75 / 8.0)];
     for (age, warmth) in cases {
@@ -44,7 +44,7 @@
     assert_eq!((first.total, first.notified), (1.0, 1.0));
     let second = meter.record(11 * S, 80_000.0, false).unwrap();
     assert_eq!((second.total, second.notified), (3.0, 1.0));
-    // Two seconds after the first arrival it still counts; a microsecond later it does not.
+    // An arrival counts for exactly 2 s, and no longer.
     assert_eq!(meter.record(12 * S, 40_000.0, true).unwrap().total, 4.0);
     let last = meter.record(12 * S + 1, 40_000.0, true).unwrap();
     assert_eq!((last.total, last.notified), (4.0, 2.0));
--- a/settings/src/bounded_file.rs
+++ b/settings/src/bounded_file.rs
@@ -1,29 +1,28 @@
-//! Reads whole files of a bounded size; the one way in which the programs read a file.
+//! Reads whole files with a size limit. All file input of the programs goes through this module.
 
 use std::fs::File;
 use std::io::{Error, Read, Result};
 use std::path::Path;
 
-/// The largest configuration: a list of some ten thousand workers.
+/// Limit for configuration files; enough for about ten thousand endpoints.
 pub const MAX_CONFIG_BYTES: u64 = 16 << 20;
-/// The largest file that people write: limits, scenarios.
+/// Limit for files written by people, such as policies and scenarios.
 pub const MAX_AUTHORED_BYTES: u64 = 1 << 20;
-/// The largest file that programs write: results, records of arrivals.
+/// Limit for files written by programs, such as results and recorded arrivals.
 pub const MAX_GENERATED_BYTES: u64 = 1 << 30;
 
-/// A file's bytes, `max` at the most: a path may lead to a device or a pipe without an end, which would be read until
-/// the memory is full.
+/// Reads a file. Fails if it is larger than `max` bytes; the path may be a device or a pipe without an end.
 pub fn read_bytes(path: &Path, max: u64) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(max + 1).read_to_end(&mut bytes)?;
     if bytes.len() as u64 > max {
-        return Err(Error::other(format!("it holds more than {max} bytes")));
+        return Err(Error::other(format!("file exceeds {max} bytes")));
     }
     Ok(bytes)
 }
 
-/// A file's text, `max` bytes at the most.
+/// Reads a file as UTF-8 text. Fails if it is larger than `max` bytes.
 pub fn read_text(path: &Path, max: u64) -> Result<String> {
     String::from_utf8(read_bytes(path, max)?)
-        .map_err(|e| Error::other(format!("byte {} is not UTF-8", e.utf8_error().valid_up_to())))
+        .map_err(|e| Error::other(format!("invalid UTF-8 at byte {}", e.utf8_error().valid_up_to())))
 }
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment's settings object, decoded and checked.
+//! Decoding and validation of a deployment's settings object.
 
 use crate::names::DeploymentNames;
 use crate::network::NetworkSettings;
@@ -8,21 +8,21 @@
 use serde::Deserialize;
 use std::ops::RangeInclusive;
 
-/// A class's share of the origin's window, unless a policy says otherwise.
+/// A class's share of the origin's congestion window unless a policy sets one.
 const DEFAULT_WINDOW_SHARE: f64 = 1.0;
 const TIME_RANGE_MS: RangeInclusive<f64> = 0.0..=MAX_MILLIS;
 
-/// A figure of the settings that cannot be meant.
+/// A setting outside its allowed range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {value} is out of range; {min} to {max} is allowed")]
 pub struct OutOfRange {
-    /// The field, as a path.
+    /// Path of the field.
     pub field: String,
-    /// What it says.
+    /// Configured value.
     pub value: f64,
-    /// The least that is allowed.
+    /// Smallest allowed value.
     pub min: f64,
-    /// The most that is allowed.
+    /// Largest allowed value.
     pub max: f64,
 }
 
@@ -34,7 +34,7 @@
     Err(OutOfRange { field: field.into(), value, min, max })
 }
 
-/// The settings as they are written.
+/// Settings object as decoded from JSON.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct DeploymentSettings {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// How long a client of this class waits; its objective where no deadline is given.
+    /// Deadline of clients of this class; the latency objective if no deadline is set.
     fn client_deadline(&self) -> Micros {
         micros(if self.deadline > 0.0 { self.deadline } else { self.latency_objective })
     }
@@ -199,8 +199,8 @@
 }
 
 impl DeploymentSettings {
-    /// Whether every figure can be meant: a slip such as a sign or a unit would serve for years as no limit, or as one
-    /// of zero. The error is the first that can't.
+    /// Checks all numbers against their allowed ranges, so that a wrong sign or unit does not act as no limit
+    /// or a limit of 0. Returns the first violation.
     pub fn validate(&self) -> Result<(), OutOfRange> {
         let (limits, obligations) = (&self.limits, &self.obligations);
         check_range("balancers", f64::from(self.proxies), 1.0..=1e6)?;
@@ -217,7 +217,7 @@
         self.classes.iter().enumerate().try_for_each(|(index, grade)| grade.validate(index))
     }
 
-    /// The router's settings.
+    /// Settings of the router.
     pub fn settings(&self) -> Settings {
         let (limits, obligations) = (&self.limits, &self.obligations);
         Settings {
@@ -245,7 +245,7 @@
         }
     }
 
-    /// What the sockets go by.
+    /// Settings of the proxy's connections.
     pub fn network(&self) -> NetworkSettings {
         NetworkSettings {
             connect_timeout: micros(self.limits.connect_timeout),
@@ -255,7 +255,7 @@
         }
     }
 
-    /// What a policy file is checked against.
+    /// Context that a policy file is validated against.
     pub fn policy_context(&self) -> PolicyContext {
         let names = self.names();
         PolicyContext {
@@ -266,7 +266,7 @@
         }
     }
 
-    /// The names, by the numbers that the router has for them.
+    /// Names behind the router's indices.
     pub fn names(&self) -> DeploymentNames {
         DeploymentNames {
             classes: self.classes.iter().map(|g| g.name.clone()).collect(),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decodes a deployment's settings: the JSON object that a simulated instance gets in its first message
-//! and a real proxy finds in its configuration. Fields that are not named here are skipped.
+//! Decodes a deployment's settings: the JSON object that a simulated instance receives in its first message
+//! and a proxy reads from its configuration. Unknown fields are ignored.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -1,23 +1,22 @@
-//! The names that the router knows as numbers.
+//! Names of classes, tenants, zones and machine kinds.
 
-/// The names that the router knows as numbers, each by its place.
+/// Names of the items that the router identifies by index; each name's position is the index.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentNames {
-    /// The request classes.
+    /// Request classes.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// Tenants.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Zones.
     pub zones: Vec<String>,
-    /// The kinds of machine.
+    /// Machine kinds.
     pub kinds: Vec<String>,
 }
 
 impl DeploymentNames {
-    /// A number for the deployment that these are the names of: another customer's has another one.
+    /// Hash of all names, which distinguishes this deployment from others.
     ///
-    /// Lists and names go in behind their lengths, so that no two deployments come to the same bytes, whatever
-    /// their names hold.
+    /// Lists and names are prefixed with their lengths, so different deployments hash different bytes.
     pub fn fingerprint(&self) -> u64 {
         let length = |n: usize| (n as u64).to_le_bytes();
         let mut bytes = Vec::new();
@@ -32,7 +31,7 @@
     }
 }
 
-/// A name's place among `names`.
+/// Index of `name` in `names`.
 pub fn index_of(names: &[String], name: &str) -> Option<u32> {
     names.iter().position(|n| n == name).map(|i| i as u32)
 }
--- a/settings/src/network.rs
+++ b/settings/src/network.rs
@@ -1,23 +1,23 @@
-//! What only a program with sockets of its own has to know of a deployment.
+//! Settings of the proxy's connections.
 
 use notchdoor::Micros;
 
-/// What only a program with sockets of its own has to know.
+/// Settings that only a program with its own sockets uses.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkSettings {
-    /// A connection that is not up by then never comes up.
+    /// Connect timeout.
     pub connect_timeout: Micros,
-    /// Workers close a connection that has stood idle for so long.
+    /// Idle timeout after which backends close a connection.
     pub idle_close: Micros,
-    /// The longest deadline of any class.
+    /// Longest deadline of any class; 0 if no class has one.
     pub max_deadline: Micros,
-    /// The time within which a started server is warm.
+    /// Time within which a started server is warm.
     pub warmup: Micros,
 }
 
 impl NetworkSettings {
-    /// The longest that a request is held, whatever its client says: no client waits longer over all its attempts. A
-    /// client that names an hour would have a silent worker hold its requests for as long.
+    /// Longest time that a request may stay in flight, whatever deadline its client sends. Bounds how long a
+    /// silent backend can block requests; unlimited if no class has a deadline.
     pub fn max_request_time(&self) -> Micros {
         if self.max_deadline == 0 {
             return Micros::MAX;
@@ -26,5 +26,5 @@
     }
 }
 
-/// Clients' clocks and their own settings may differ from the deployment's by so much.
+/// Tolerance for clients whose clocks or deadlines differ from the deployment's.
 const DEADLINE_TOLERANCE_FACTOR: u64 = 2;
--- a/settings/src/readiness.rs
+++ b/settings/src/readiness.rs
@@ -1,17 +1,17 @@
-//! A server's state on the wire.
+//! Server state on the wire.
 
 use notchdoor::ServerState;
 use serde::Deserialize;
 
-/// A server's state, as the simulator's wire and the registry both word it.
+/// Server state as used by the simulator's protocol and by the discovery service.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
     /// In service.
     InService,
-    /// Finishing its work; it takes nothing new.
+    /// Finishes its requests and accepts no new ones.
     Terminating,
-    /// Gone.
+    /// Stopped.
     Terminated,
 }
 
--- a/settings/src/time.rs
+++ b/settings/src/time.rs
@@ -1,15 +1,15 @@
-//! Times as settings give them.
+//! Times in settings.
 
 use notchdoor::Micros;
 
-/// A time in milliseconds, with fractions.
+/// Time in milliseconds, with fractions.
 pub type Millis = f64;
 
-/// The longest time that settings may name: some thirty years.
+/// Largest time in settings, about 30 years.
 pub(crate) const MAX_MILLIS: Millis = 1e12;
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// Milliseconds as whole microseconds. What is negative or no number becomes 0.
+/// Converts milliseconds to whole microseconds; negative values and NaN become 0.
 pub fn micros(t: Millis) -> Micros {
     (t * MICROS_PER_MILLI).round().max(0.0) as Micros
 }
--- a/settings/tests/decoding.rs
+++ b/settings/tests/decoding.rs
@@ -1,9 +1,9 @@
-//! A whole settings object, and what it decodes to.
+//! Decoding, defaults and validation of a settings object.
 
 use notchdoor::{Class, Discovery, Effect, Scope, Settings, Tenant};
 use notchdoor_settings::{index_of, micros, DeploymentNames, DeploymentSettings, OutOfRange};
 
-/// Every field that is read, and some that are not.
+/// All decoded fields, and one that is ignored.
 const SETTINGS_WITH_ALL_FIELDS: &str = r#"{"balancers":4,"future":{"x":1},"grades":[
     {"name":"read","aim":500.0,"deadline":2000.0,"points":1.0,"lateShare":0.25,"effect":"idempotent"},
     {"name":"fix","aim":0.25,"points":2.0,"effect":"deduplicated","dedupScope":"zone","dedupWindow":800.0},
@@ -53,7 +53,7 @@
     };
     let deployment = decode_all_fields();
     assert!(deployment.validate().is_ok());
-    // The library's settings have no equality of their own.
+    // `Settings` does not implement `PartialEq`.
     assert_eq!(format!("{:?}", deployment.settings()), format!("{expected:?}"));
     let network = deployment.network();
     assert_eq!((network.connect_timeout, network.idle_close), (150_000, 20_000_000));
@@ -62,7 +62,7 @@
     assert_eq!(
         context.deadlines,
         [2_000_000, 250, 3_000, 1_000, 600_000],
-        "the objective where none is given"
+        "defaults to the latency objective"
     );
     assert_eq!(context.classes, ["read", "fix", "cell", "all", "close"]);
     assert_eq!(context.tenants, ["t", "u"]);
@@ -73,7 +73,7 @@
     );
 }
 
-/// Two deployments on one machine are kept apart by this number: it has to differ wherever any list does.
+/// Deployments on one machine are told apart by this number, so every list has to contribute.
 #[test]
 fn fingerprint_differs_when_names_move_between_lists() {
     let lists = |lists: [&[&str]; 4]| {
@@ -115,7 +115,7 @@
     assert_eq!(settings.classes[1].effect, effect);
     assert_eq!(settings.origin_kind, Some(1));
     assert_eq!(settings.discovery, Discovery::OnRequest { poll_interval: 10_000_000 });
-    assert_eq!(settings.max_retry_after, 0, "no retry-after where clients get none");
+    assert_eq!(settings.max_retry_after, 0, "0 if Retry-After is disabled");
     let network = deployment.network();
     assert_eq!((network.connect_timeout, network.idle_close), (150_000, 30_000_000));
     assert_eq!(network.max_deadline, 2_000_000);
