--- a/lab/src/day/clients.rs
+++ b/lab/src/day/clients.rs
@@ -181,7 +181,7 @@
         let Some(o) = self.orders.get_mut(&order).filter(|o| !o.settled) else { return };
         if heard == AttemptResult::Answered {
             o.settled = true;
-            let (claim, latency) = (o.claim, self.now - o.want.since);
+            let (claim, latency) = (o.claim, self.now - o.want.requested_at);
             self.record.served(self.spec, claim, latency);
             return;
         }
@@ -209,7 +209,7 @@
         if let Some(o) = self.orders.get_mut(&order).filter(|o| !o.settled) {
             o.settled = true;
             let aim = ms(self.spec.classes[o.want.class as usize].latency_objective_ms);
-            let (claim, late) = (o.claim, self.now > o.want.since + aim);
+            let (claim, late) = (o.claim, self.now > o.want.requested_at + aim);
             self.record.lost(claim, late);
             if o.refs == 0 {
                 self.orders.remove(&order);
--- a/lab/src/day/mod.rs
+++ b/lab/src/day/mod.rs
@@ -18,7 +18,7 @@
 use notchdoor_limits::policy::Policy as Limits;
 use notchdoor_model::clients::{AttemptResult, ClientBehaviour, ClientRequest, Workload};
 use notchdoor_model::discovery::{Delivery, Discovery, ServerId};
-use notchdoor_model::front::Front;
+use notchdoor_model::front::FrontBalancer;
 use notchdoor_model::spec::Spec;
 use notchdoor_model::station::Finished;
 use notchdoor_model::time::{ms, rng, secs, Purpose, Time, S};
@@ -148,7 +148,7 @@
     tellings: FxHashMap<u64, Delivery>,
     next_telling: u64,
     proxies: Vec<Proxy>,
-    front: Front,
+    front: FrontBalancer,
     demand: Workload,
     client_behaviour: ClientBehaviour,
     clients: ChaCha8Rng,
@@ -205,7 +205,7 @@
         let settings = world::settings(spec);
         let zones = spec.zones.len() as u32;
         let registry = Discovery::new(world::registry_figures(spec), world.lines(), seed);
-        let (_, end) = spec.scored();
+        let (_, end) = spec.scored_interval();
         let mut day = Day {
             spec,
             kind,
@@ -222,7 +222,10 @@
             tellings: FxHashMap::default(),
             next_telling: 0,
             proxies: Vec::new(),
-            front: Front::new((0..spec.proxies).map(|p| p % zones), secs(spec.front.detection_delay_s)),
+            front: FrontBalancer::new(
+                (0..spec.proxies).map(|p| p % zones),
+                secs(spec.front.detection_delay_s),
+            ),
             demand: Workload::new(spec, spec.rate(), seed),
             client_behaviour: ClientBehaviour::new(&spec.clients),
             clients: rng(seed, Purpose::Clients),
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -265,7 +265,7 @@
 impl Recorder {
     /// Takes figures of the scored part of a day.
     pub fn new(spec: &Spec, quota: Vec<f64>) -> Self {
-        let (from, until) = spec.scored();
+        let (from, until) = spec.scored_interval();
         let (classes, tenants) = (spec.classes.len(), spec.tenants.len());
         let second = Second {
             asked: vec![0.0; classes],
@@ -305,7 +305,7 @@
     /// A request is wanted: what it may earn.
     pub fn wanted(&mut self, spec: &Spec, want: &notchdoor_model::clients::ClientRequest) -> Claim {
         let tenant = want.tenant as usize;
-        let second = want.since / S;
+        let second = want.requested_at / S;
         if self.used[tenant].0 != second {
             self.used[tenant] = (second, 0.0);
         }
@@ -313,14 +313,14 @@
         let within = self.used[tenant].1 <= self.quota[tenant];
         let class = &spec.classes[want.class as usize];
         let worth = class.priority_weight * if within { 1.0 } else { spec.rules.over_quota_weight };
-        let claim = Claim { since: want.since, class: want.class, tenant: want.tenant, worth, within };
-        let at = self.at(want.since);
+        let claim = Claim { since: want.requested_at, class: want.class, tenant: want.tenant, worth, within };
+        let at = self.at(want.requested_at);
         at.counts.wanted += 1;
         at.asked[claim.class as usize] += worth;
         if within {
             at.tenant_asked[claim.tenant as usize] += worth;
         }
-        if self.scored(want.since) {
+        if self.scored(want.requested_at) {
             self.work_asked += want.work;
         }
         claim
--- a/lab/src/search.rs
+++ b/lab/src/search.rs
@@ -217,7 +217,7 @@
         put(&|s| s.warm_up_s = (s.warm_up_s / 2.0).floor());
     }
     for i in 0..faults {
-        let milder = spec.faults[i].milder();
+        let milder = spec.faults[i].reduced();
         if milder != spec.faults[i] {
             put(&|s| s.faults[i] = milder.clone());
         }
--- a/load/src/client.rs
+++ b/load/src/client.rs
@@ -127,7 +127,7 @@
 
     /// A request is due: an order is begun, or voided where it is too late for that.
     pub fn begin(self: &Rc<Self>, executor: &LocalExecutor<'static>, want: ClientRequest) {
-        let late = self.now().saturating_sub(want.since);
+        let late = self.now().saturating_sub(want.requested_at);
         let mut part = self.part.borrow_mut();
         part.late.saturating_record(late.max(1));
         if late > self.shared.most_late || self.open.get() >= MOST_OPEN {
@@ -155,7 +155,7 @@
             let sent = self.now();
             let (due, leaves) = match &self.shared.manners {
                 Some(manners) => manners.attempt_timeout(&want, sent, &mut self.rng.borrow_mut()),
-                None => (want.until, None),
+                None => (want.deadline, None),
             };
             tries += 1;
             self.count(sent, |counts| counts.tries += 1);
@@ -163,7 +163,7 @@
             let until = leaves.unwrap_or(due);
             let heard = self.attempt(&want, (sent, due, until), &once, tries > 1).await;
             let now = self.now();
-            self.shared.live.ended(want.class, heard, now - want.since);
+            self.shared.live.ended(want.class, heard, now - want.requested_at);
             self.count(sent, |counts| match heard {
                 AttemptResult::Rejected(_) => counts.refused += 1,
                 AttemptResult::Failed => counts.failed += 1,
@@ -172,7 +172,7 @@
                 AttemptResult::Answered => {}
             });
             if heard == AttemptResult::Answered {
-                return self.part.borrow_mut().recorder.served(spec, claim, now - want.since);
+                return self.part.borrow_mut().recorder.served(spec, claim, now - want.requested_at);
             }
             if matches!(heard, AttemptResult::Failed | AttemptResult::TimedOut) {
                 risked.get_or_insert(sent);
@@ -182,7 +182,7 @@
                 manners.retry_at(&want, effect, (heard, tries), risked, now, &mut self.rng.borrow_mut())
             });
             let Some(at) = again else {
-                let late = now > want.since + (class.latency_objective_ms * 1e3) as Time;
+                let late = now > want.requested_at + (class.latency_objective_ms * 1e3) as Time;
                 return self.part.borrow_mut().recorder.lost(claim, late);
             };
             self.until(at).await;
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -82,7 +82,7 @@
     if let Some(rate) = options.arrivals.rate() {
         spec.load.rate = rate;
     }
-    let (_, until) = spec.scored();
+    let (_, until) = spec.scored_interval();
     // Request ids of two runs must differ: the time tells the runs apart, and no span is measured with it.
     #[allow(clippy::disallowed_methods)]
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -177,7 +177,7 @@
             if let Some(class) = line.class {
                 let deadline = secs(spec.classes[class as usize].deadline_ms / 1e3);
                 (want.class, want.write) = (class, spec.classes[class as usize].write);
-                want.until = want.since + deadline;
+                want.deadline = want.requested_at + deadline;
             }
             want.key = line.key.unwrap_or(want.key);
             if n % threads != thread {
--- a/load/tests/run.rs
+++ b/load/tests/run.rs
@@ -86,7 +86,7 @@
 #[test]
 fn arrivals_come_when_they_should() {
     let spec = spec(&["length_s=100", "load.rate=50"]);
-    let (_, until) = spec.scored();
+    let (_, until) = spec.scored_interval();
     let rate = |arrivals: &Arrivals, from: f64, to: f64| {
         let at = |l: &Line| l.at as f64 / until as f64;
         let n = arrivals.times(&spec, 9, until).filter(|l| (from..to).contains(&at(l))).count();
--- a/model/src/backend.rs
+++ b/model/src/backend.rs
@@ -67,7 +67,7 @@
     /// Window over which the sent work is counted.
     pub overload_window: Time,
     /// Cache capacity, in units of object size.
-    pub cache: u64,
+    pub cache_capacity: u64,
     /// Cache eviction policy.
     pub eviction: EvictionPolicy,
     /// Share of responses that are errors.
@@ -138,7 +138,7 @@
         );
         Backend {
             station: Station::new(config.station, config.speed, 0),
-            cache: Cache::new(config.cache, config.eviction),
+            cache: Cache::new(config.cache_capacity, config.eviction),
             config,
             state: State::Up,
             started_at: 0,
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -31,9 +31,9 @@
     /// Object size, in cache units.
     pub size: u32,
     /// Time of the first attempt.
-    pub since: Time,
+    pub requested_at: Time,
     /// Deadline, after which the client makes no further attempt.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 /// Keys that receive an extra share of the requests for a limited time.
@@ -229,8 +229,8 @@
             work,
             fetch_work: fetch,
             size: (8.0 * self.size.sample(&mut self.rng)).clamp(1.0, 512.0) as u32,
-            since: now,
-            until: now + deadline,
+            requested_at: now,
+            deadline: now + deadline,
         }
     }
 }
@@ -289,11 +289,11 @@
         rng: &mut ChaCha8Rng,
     ) -> (Time, Option<Time>) {
         let share = rng.random_range(self.attempt_timeout_share.0..=self.attempt_timeout_share.1);
-        let length = (request.until - request.since) as f64;
-        let due = (now + (length * share) as Time).min(request.until);
+        let length = (request.deadline - request.requested_at) as f64;
+        let timeout_at = (now + (length * share) as Time).min(request.deadline);
         let leaves = rng.random::<f64>() < self.early_leave_share;
-        let left = leaves.then(|| now + ((due - now) as f64 * rng.random::<f64>()) as Time);
-        (due, left)
+        let leaves_at = leaves.then(|| now + ((timeout_at - now) as f64 * rng.random::<f64>()) as Time);
+        (timeout_at, leaves_at)
     }
 
     /// Time of the next attempt after `result` was received at `now`, or `None` for no retry. `attempts` have
@@ -329,6 +329,6 @@
             (Effect::Deduplicated { window }, Some(first_risk)) => at < first_risk + window,
             _ => true,
         };
-        (allowed && in_window && at < request.until).then_some(at)
+        (allowed && in_window && at < request.deadline).then_some(at)
     }
 }
--- a/model/src/faults.rs
+++ b/model/src/faults.rs
@@ -245,9 +245,9 @@
 
     /// Returns the fault with its length halved and each parameter moved half way to its minimum, for
     /// shrinking schedules.
-    pub fn milder(&self) -> Fault {
-        let mut milder = self.clone();
-        milder.length_s = (self.length_s / 2.0 * 10.0).ceil() / 10.0;
+    pub fn reduced(&self) -> Fault {
+        let mut reduced = self.clone();
+        reduced.length_s = (self.length_s / 2.0 * 10.0).ceil() / 10.0;
         for parameter in self.kind.parameters() {
             let value = (self.parameter_value(parameter.field) + parameter.min) / 2.0;
             let value = if parameter.field == ParameterName::Count || parameter.field == ParameterName::Zone {
@@ -255,9 +255,9 @@
             } else {
                 (value * 100.0).round() / 100.0
             };
-            milder.set(parameter.field, Some(value.clamp(parameter.min, parameter.max)));
+            reduced.set(parameter.field, Some(value.clamp(parameter.min, parameter.max)));
         }
-        milder
+        reduced
     }
 }
 
--- a/model/src/front.rs
+++ b/model/src/front.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Assigns clients to proxies, preferably in their own zone.
-pub struct Front {
+pub struct FrontBalancer {
     detection_delay: Time,
     /// Proxies by zone.
     zones: Vec<Vec<u32>>,
@@ -13,17 +13,17 @@
     down_since: Vec<Option<Time>>,
 }
 
-impl Front {
+impl FrontBalancer {
     /// Creates a load balancer for running proxies, given the zone of each.
     pub fn new(proxy_zones: impl IntoIterator<Item = u32>, detection_delay: Time) -> Self {
-        let mut front = Front { detection_delay, zones: Vec::new(), down_since: Vec::new() };
+        let mut balancer = FrontBalancer { detection_delay, zones: Vec::new(), down_since: Vec::new() };
         for (proxy, zone) in proxy_zones.into_iter().enumerate() {
             let zone = zone as usize;
-            front.zones.resize(front.zones.len().max(zone + 1), Vec::new());
-            front.zones[zone].push(proxy as u32);
-            front.down_since.push(None);
+            balancer.zones.resize(balancer.zones.len().max(zone + 1), Vec::new());
+            balancer.zones[zone].push(proxy as u32);
+            balancer.down_since.push(None);
         }
-        front
+        balancer
     }
 
     /// Records that a proxy stopped at this time, or that it is ready (`None`).
--- a/model/src/network.rs
+++ b/model/src/network.rs
@@ -147,12 +147,12 @@
     }
 
     /// Streams in use from this proxy to this server.
-    pub fn busy(&self, proxy: u32, server: u32) -> u32 {
+    pub fn streams_in_use(&self, proxy: u32, server: u32) -> u32 {
         self.pools.get(&(proxy, server)).map_or(0, |p| p.busy)
     }
 
     /// Number of pools.
-    pub fn pools(&self) -> usize {
+    pub fn pool_count(&self) -> usize {
         self.pools.len()
     }
 }
--- a/model/src/spec/derived.rs
+++ b/model/src/spec/derived.rs
@@ -48,14 +48,14 @@
 
     /// Cache capacity of one backend, in units of object size (8 per mean object): an even part of the
     /// capacity at which one pooled cache has the stated hit rate, by Che's approximation.
-    pub fn backend_memory(&self) -> u64 {
+    pub fn backend_cache_capacity(&self) -> u64 {
         let shares = zipf_shares(self.keys.count, self.keys.zipf, self.keys.offset);
         let objects = che_capacity(&shares, self.keys.hit_rate);
         (objects * 8.0 / f64::from(self.backends.count)).ceil().max(16.0) as u64
     }
 
     /// Start and end of the scored part of the day.
-    pub fn scored(&self) -> (Time, Time) {
+    pub fn scored_interval(&self) -> (Time, Time) {
         (secs(self.warm_up_s), secs(self.warm_up_s + self.length_s))
     }
 }
--- a/model/tests/arithmetic.rs
+++ b/model/tests/arithmetic.rs
@@ -22,7 +22,7 @@
 }
 
 /// Mean work of a request, in microseconds.
-const MEAN: f64 = 10_000.0;
+const MEAN_WORK_US: f64 = 10_000.0;
 
 /// Runs a station with Poisson arrivals at `rho` of its capacity. Returns its tally, the elapsed time and the
 /// number of arrivals.
@@ -33,14 +33,14 @@
     let (mut now, mut done): (f64, Vec<Finished>) = (0.0, Vec::new());
     for job in 0..n {
         let gap: f64 = Exp1.sample(&mut rng);
-        now += gap * MEAN / (rho * cores);
+        now += gap * MEAN_WORK_US / (rho * cores);
         let size = match work {
             Work::Exponential => Exp1.sample(&mut rng),
             Work::Fixed => 1.0,
             Work::LogNormal(d) => d.sample(&mut rng),
         };
         station.advance(now as Time, &mut done);
-        let _: Admission = station.offer(now as Time, job, size * MEAN);
+        let _: Admission = station.offer(now as Time, job, size * MEAN_WORK_US);
     }
     while let Some(at) = station.wake_at() {
         station.advance(at, &mut done);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn sojourn_times_are_those_of_the_textbook_queues() {
+fn mean_sojourn_times_match_closed_forms() {
     const ROOM: usize = 1_000_000;
     let wide = Work::LogNormal(unit_mean_lognormal(1.5));
     // Pollaczek-Khinchine: W = S + rho S (1 + cv^2) / (2 (1 - rho)).
@@ -83,14 +83,14 @@
     for (name, cores, slots, rho, work, expected, tolerance) in cases {
         let (tally, _, n) = queue(cores, slots, ROOM, rho, work, 300_000);
         assert_eq!((tally.finished, tally.turned_away), (n, 0), "{name}");
-        let mean = tally.sojourn as f64 / n as f64 / MEAN;
-        let off = (mean / expected - 1.0).abs();
-        assert!(off < tolerance, "{name} at {rho}: {mean:.3} expected {expected:.3}, off by {off:.3}");
+        let mean = tally.sojourn as f64 / n as f64 / MEAN_WORK_US;
+        let error = (mean / expected - 1.0).abs();
+        assert!(error < tolerance, "{name} at {rho}: {mean:.3} expected {expected:.3}, off by {error:.3}");
     }
 }
 
 #[test]
-fn little_s_law_holds_on_every_queue() {
+fn littles_law_holds_for_bounded_queues() {
     for (cores, slots, room, rho) in
         [(1.0, 1, 5, 0.9), (2.0, 16, 3, 1.4), (4.0, 4, 0, 0.6), (1.0, 24, 3, 0.95)]
     {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_bounded_queue_turns_away_what_erlang_says() {
+fn bounded_queue_rejection_rate_matches_mm1k() {
     // M/M/1/K: rho^K (1 - rho) / (1 - rho^(K+1)); 1 / (K + 1) at rho = 1.
     for (k, rho) in [(1u32, 0.5f64), (3, 0.8), (5, 1.0), (4, 1.5)] {
         let power = rho.powi(k as i32);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn lru_hit_rates_are_che_s() {
+fn lru_hit_rate_matches_che_approximation() {
     // keys, exponent, offset, capacity in objects, tolerance
     for (n, exponent, offset, capacity, tolerance) in [
         (1_000, 0.8, 0.0, 100, 0.01),
@@ -129,15 +129,15 @@
     ] {
         let shares = zipf_shares(n, exponent, offset);
         let pick = WeightedAliasIndex::new(shares.clone()).unwrap();
-        let (mut memory, truth) = (Cache::new(capacity, EvictionPolicy::Lru), Validity::new(None));
+        let (mut cache, validity) = (Cache::new(capacity, EvictionPolicy::Lru), Validity::new(None));
         let mut rng = rng(5, Purpose::Demand);
         let (mut hits, warm, scored) = (0u32, 100_000u32, 300_000u32);
         for i in 0..warm + scored {
             let key = pick.sample(&mut rng) as u64;
-            if memory.lookup(0, key, &truth) {
+            if cache.lookup(0, key, &validity) {
                 hits += u32::from(i >= warm);
             } else {
-                memory.store(key, 0, 1);
+                cache.store(key, 0, 1);
             }
         }
         let (rate, expected) = (f64::from(hits) / f64::from(scored), che_hit_rate(&shares, capacity as f64));
@@ -147,23 +147,23 @@
         );
         let back = che_capacity(&shares, expected);
         assert!((back / capacity as f64 - 1.0).abs() < 1e-6, "the inverse gives {back}");
-        assert!(memory.used().0 <= capacity);
+        assert!(cache.used().0 <= capacity);
     }
 }
 
 #[test]
-fn fifo_does_worse_than_lru_where_keys_are_uneven() {
+fn lru_has_more_hits_than_fifo_for_skewed_keys() {
     let pick = WeightedAliasIndex::new(zipf_shares(2_000, 1.0, 0.0)).unwrap();
     let rate = |evict| {
-        let (mut memory, truth) = (Cache::new(100, evict), Validity::new(None));
+        let (mut cache, validity) = (Cache::new(100, evict), Validity::new(None));
         let mut rng = rng(5, Purpose::Demand);
         let mut hits = 0;
         for _ in 0..100_000 {
             let key = pick.sample(&mut rng) as u64;
-            if memory.lookup(0, key, &truth) {
+            if cache.lookup(0, key, &validity) {
                 hits += 1;
             } else {
-                memory.store(key, 0, 1);
+                cache.store(key, 0, 1);
             }
         }
         hits
@@ -172,27 +172,27 @@
 }
 
 #[test]
-fn copies_are_void_after_a_write_a_flush_and_their_time() {
-    let mut truth = Validity::new(Some(10 * S));
-    let mut memory = Cache::new(100, EvictionPolicy::Lru);
+fn entries_become_invalid_after_write_flush_and_ttl() {
+    let mut validity = Validity::new(Some(10 * S));
+    let mut cache = Cache::new(100, EvictionPolicy::Lru);
     for key in 0..50 {
-        memory.store(key, S, 2);
+        cache.store(key, S, 2);
     }
-    assert!(memory.lookup(2 * S, 7, &truth));
-    truth.record_write(2 * S, 7);
-    assert!(!memory.peek(2 * S, 7, &truth), "an entry created before the write");
-    memory.store(7, 3 * S, 2);
-    assert!(memory.lookup(3 * S, 7, &truth), "an entry created after the write");
-    truth.flush(4 * S, 0.6, 99);
-    let kept = (0..50).filter(|k| memory.lookup(4 * S, *k, &truth)).count();
+    assert!(cache.lookup(2 * S, 7, &validity));
+    validity.record_write(2 * S, 7);
+    assert!(!cache.peek(2 * S, 7, &validity), "an entry created before the write");
+    cache.store(7, 3 * S, 2);
+    assert!(cache.lookup(3 * S, 7, &validity), "an entry created after the write");
+    validity.flush(4 * S, 0.6, 99);
+    let kept = (0..50).filter(|k| cache.lookup(4 * S, *k, &validity)).count();
     assert!((10..30).contains(&kept), "about two in five remain valid: {kept}");
-    assert!((0..50).all(|k| !memory.lookup(14 * S, k, &truth)), "no entry outlives its ttl");
-    memory.store(1, 0, 101);
-    assert_eq!(memory.used().0, 0, "an object larger than the cache is not stored");
+    assert!((0..50).all(|k| !cache.lookup(14 * S, k, &validity)), "no entry outlives its ttl");
+    cache.store(1, 0, 101);
+    assert_eq!(cache.used().0, 0, "an object larger than the cache is not stored");
 }
 
 #[test]
-fn retries_multiply_as_their_closed_form_says() {
+fn mean_attempts_match_closed_form() {
     // Each attempt fails with probability p: the mean number of attempts is (1 - p^(R+1)) / (1 - p).
     for (retries, p) in [(0u32, 0.5f64), (2, 0.3), (2, 0.9), (5, 0.7)] {
         let behaviour = ClientBehaviour {
@@ -205,24 +205,25 @@
         };
         let mut rng = rng(3, Purpose::Clients);
         let n = 40_000;
-        let mut tries = 0u64;
+        let mut attempts = 0u64;
         for _ in 0..n {
             let (request, mut made, mut now) = (request(0, 600 * S), 0, 0);
             loop {
                 made += 1;
-                tries += 1;
-                let heard = if rng.random::<f64>() < p {
+                attempts += 1;
+                let result = if rng.random::<f64>() < p {
                     AttemptResult::Rejected(0)
                 } else {
                     AttemptResult::Answered
                 };
-                match behaviour.retry_at(&request, Effect::Idempotent, (heard, made), None, now, &mut rng) {
+                match behaviour.retry_at(&request, Effect::Idempotent, (result, made), None, now, &mut rng) {
                     Some(at) => now = at,
                     None => break,
                 }
             }
         }
-        let (mean, expected) = (tries as f64 / f64::from(n), (1.0 - p.powi(retries as i32 + 1)) / (1.0 - p));
+        let (mean, expected) =
+            (attempts as f64 / f64::from(n), (1.0 - p.powi(retries as i32 + 1)) / (1.0 - p));
         assert!(
             (mean / expected - 1.0).abs() < 0.02,
             "R {retries}, p {p}: {mean:.3}, expected {expected:.3}"
@@ -240,13 +241,13 @@
         work: 1.0,
         fetch_work: 1.0,
         size: 1,
-        since,
-        until,
+        requested_at: since,
+        deadline: until,
     }
 }
 
 #[test]
-fn clients_try_again_only_where_the_platform_says() {
+fn clients_retry_only_where_the_effect_allows() {
     let behaviour = ClientBehaviour {
         retries: 2,
         attempt_timeout_share: (0.5, 0.8),
@@ -276,66 +277,70 @@
         (Effect::Idempotent, AttemptResult::Failed, 2, None, 3_900 * MS, None),
     ];
     let mut rng = rng(1, Purpose::Clients);
-    for (effect, heard, tries, risked, now, expected) in cases {
-        let again = behaviour.retry_at(&request(0, 4 * S), effect, (heard, tries), risked, now, &mut rng);
-        assert_eq!(again, expected, "{effect:?} {heard:?} after {tries} attempts at {now}");
+    for (effect, result, attempts, first_risk, now, expected) in cases {
+        let retry =
+            behaviour.retry_at(&request(0, 4 * S), effect, (result, attempts), first_risk, now, &mut rng);
+        assert_eq!(retry, expected, "{effect:?} {result:?} after {attempts} attempts at {now}");
     }
 }
 
 #[test]
-fn arrivals_have_the_rate_and_the_shares_that_are_asked_for() {
+fn arrivals_match_configured_rate_and_write_share() {
     for shape in [Shape::Constant, Shape::Wave, Shape::Bursty] {
         let mut spec = Spec::default();
         (spec.load.shape, spec.load.swing) = (shape, 0.4);
-        let mut demand = Workload::new(&spec, 500.0, 9);
-        demand.scale_rate(80 * S, 160 * S, 2.0);
-        let (mut now, mut n, mut rushed, mut writes) = (0, 0u32, 0u32, 0u32);
+        let mut workload = Workload::new(&spec, 500.0, 9);
+        workload.scale_rate(80 * S, 160 * S, 2.0);
+        let (mut now, mut n, mut scaled, mut writes) = (0, 0u32, 0u32, 0u32);
         loop {
-            now = demand.next_arrival(now);
+            now = workload.next_arrival(now);
             // Both halves are whole periods of the shape.
             if now >= 160 * S {
                 break;
             }
-            let request = demand.generate(now);
+            let request = workload.generate(now);
             writes += u32::from(request.write);
             if now < 80 * S {
                 n += 1;
             } else {
-                rushed += 1;
+                scaled += 1;
             }
         }
         assert!((f64::from(n) / 40_000.0 - 1.0).abs() < 0.02, "{shape:?}: {n}");
-        assert!((f64::from(rushed) / 80_000.0 - 1.0).abs() < 0.02, "{shape:?}: {rushed}");
-        let share = f64::from(writes) / f64::from(n + rushed);
+        assert!((f64::from(scaled) / 80_000.0 - 1.0).abs() < 0.02, "{shape:?}: {scaled}");
+        let share = f64::from(writes) / f64::from(n + scaled);
         assert!((share - spec.write_share()).abs() < 0.005, "{share}");
     }
 }
 
 #[test]
-fn an_overload_budget_breaks_at_its_multiple_and_not_before() {
+fn overload_is_reported_above_the_allowed_multiple_only() {
     // Sends `rate` times a capacity of 1 in steps of 10 ms; the detector allows 4 times the capacity over 2
     // s.
-    for (rate, breaks) in [(1.0, false), (3.9, false), (4.3, true), (8.0, true)] {
-        let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
+    for (rate, overloaded) in [(1.0, false), (3.9, false), (4.3, true), (8.0, true)] {
+        let mut detector = OverloadDetector::new(2 * S, 4.0, 0.0);
         let first = (0..400u64).find_map(|i| {
             let now = i * 10 * MS;
-            budget.record(now, 1.0, rate * 10.0 * MS as f64, 0.0, 0.0).map(|over| (now, over))
+            detector.record(now, 1.0, rate * 10.0 * MS as f64, 0.0, 0.0).map(|overload| (now, overload))
         });
-        assert_eq!(first.is_some(), breaks, "{rate}");
-        if let Some((now, over)) = first {
+        assert_eq!(first.is_some(), overloaded, "{rate}");
+        if let Some((now, overload)) = first {
             // The capacity of a whole window is available from the start: 8 s of work, spent at this rate.
-            let due = 8.0 / rate * S as f64;
-            assert!((now as f64 / due - 1.0).abs() < 0.06, "{rate}: at {now}, expected {due}");
-            assert!(over.sent > 4.0 * over.capacity);
+            let expected_at = 8.0 / rate * S as f64;
+            assert!(
+                (now as f64 / expected_at - 1.0).abs() < 0.06,
+                "{rate}: at {now}, expected {expected_at}"
+            );
+            assert!(overload.sent > 4.0 * overload.capacity);
         }
     }
     // Work outside the window does not count, and attributed work is summed separately.
-    let mut budget = OverloadDetector::new(2 * S, 4.0, 0.0);
-    assert!(budget.record(0, 1.0, 7.9e6, 7.9e6, 0.0).is_none());
+    let mut detector = OverloadDetector::new(2 * S, 4.0, 0.0);
+    assert!(detector.record(0, 1.0, 7.9e6, 7.9e6, 0.0).is_none());
     assert!(
-        budget.record(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(),
+        detector.record(3 * S, 1.0, 7.9e6, 0.0, 0.0).is_none(),
         "a window later, the first work no longer counts"
     );
-    let over = budget.record(3 * S + 100 * MS, 1.0, 1e6, 1e6, 0.0).unwrap();
-    assert!((over.attributed - 1e6).abs() < 1.0 && (over.sent - 8.9e6).abs() < 1.0, "{over:?}");
+    let overload = detector.record(3 * S + 100 * MS, 1.0, 1e6, 1e6, 0.0).unwrap();
+    assert!((overload.attributed - 1e6).abs() < 1.0 && (overload.sent - 8.9e6).abs() < 1.0, "{overload:?}");
 }
--- a/model/tests/choke.rs
+++ b/model/tests/degradation.rs
@@ -6,7 +6,7 @@
 use notchdoor_model::station::{self, Contention};
 use notchdoor_model::time::{Time, MS, S};
 
-fn backend() -> Backend {
+fn new_backend() -> Backend {
     let degradation = Degradation {
         in_flight_per_core: 2.0,
         after: S,
@@ -27,7 +27,7 @@
         warmup: S,
         overload_multiple: 3.0,
         overload_window: S,
-        cache: 1_000,
+        cache_capacity: 1_000,
         eviction: EvictionPolicy::Lru,
         error_rate: 0.0,
         on_cancel: OnCancel::Continue,
@@ -41,13 +41,13 @@
 }
 
 /// Offers reads of 100 ms at a fixed interval. Returns the time at which the last one finished.
-fn load(backend: &mut Backend, from: Time, every: Time, length: Time) -> Time {
-    let (mut done, truth) = (Vec::new(), Validity::new(None));
+fn offer_reads(backend: &mut Backend, from: Time, every: Time, length: Time) -> Time {
+    let (mut done, validity) = (Vec::new(), Validity::new(None));
     for n in 0..length / every {
         let now = from + n * every;
         backend.advance(now, &mut done);
         let job = from + n;
-        assert_eq!(backend.offer(now, job, 1, 100_000.0, true, &truth), Admission::Accepted);
+        assert_eq!(backend.offer(now, job, 1, 100_000.0, true, &validity), Admission::Accepted);
     }
     while let Some(at) = backend.wake_at() {
         backend.advance(at, &mut done);
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn it_chokes_on_what_it_holds_for_too_long_and_recovers_once_it_has_rested() {
-    let mut w = backend();
+fn backend_degrades_under_sustained_overload_and_recovers_after_idling() {
+    let mut backend = new_backend();
     // Four cores process 40 reads per second, so 25 per second never wait.
-    load(&mut w, S, 40 * MS, 5 * S);
-    assert!(!w.is_degraded());
+    offer_reads(&mut backend, S, 40 * MS, 5 * S);
+    assert!(!backend.is_degraded());
     // 100 per second quickly exceed two per core, and stay there for more than a second.
-    let end = load(&mut w, 10 * S, 10 * MS, 2 * S);
-    assert!(w.is_degraded());
+    let end = offer_reads(&mut backend, 10 * S, 10 * MS, 2 * S);
+    assert!(backend.is_degraded());
     // 200 reads take 5 s at full speed; after about one second the remainder takes three times as long.
     assert!((20 * S..26 * S).contains(&end), "done at {end}");
-    let mut none = Vec::new();
-    w.advance(end + S, &mut none);
-    assert!(w.is_degraded(), "idle for less than the recovery time");
-    w.advance(end + 4 * S, &mut none);
-    w.advance(end + 7 * S, &mut none);
-    assert!(!w.is_degraded());
+    let mut done = Vec::new();
+    backend.advance(end + S, &mut done);
+    assert!(backend.is_degraded(), "idle for less than the recovery time");
+    backend.advance(end + 4 * S, &mut done);
+    backend.advance(end + 7 * S, &mut done);
+    assert!(!backend.is_degraded());
 }
--- a/model/tests/slow_start.rs
+++ b/model/tests/slow_start.rs
@@ -15,30 +15,30 @@
 }
 
 #[test]
-fn chance_counts_for_more_where_few_requests_are_allowed() {
+fn limit_adds_more_deviations_for_small_allowances() {
     // allowed, limit: N + 2 sqrt(N) + 2; below 30, N + 3 sqrt(N) + 3
     let cases = [(0.0, 3.0), (1.0, 7.0), (16.0, 31.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)];
-    for (allowed, most) in cases {
-        assert!((max_requests(allowed) - most).abs() < 1e-9, "{allowed}: {}", max_requests(allowed));
+    for (allowed, limit) in cases {
+        assert!((max_requests(allowed) - limit).abs() < 1e-9, "{allowed}: {}", max_requests(allowed));
     }
     assert!((max_requests(30.0) - (32.0 + 2.0 * 30_f64.sqrt())).abs() < 1e-9, "30 is not a small allowance");
     assert!(max_requests(29.999) > max_requests(30.0));
 }
 
 #[test]
-fn what_is_allowed_rises_with_the_mean_capacity_of_the_span() {
+fn allowance_follows_mean_capacity_share_of_the_window() {
     // age in ms, mean capacity share over the 2 s before; 4 x 2 s / 40 ms = 200 requests at full capacity
     let cases =
         [(0, 0.25), (1_000, 0.25 + 0.75 / 8.0 * 0.25), (2_000, 0.25 + 0.75 / 8.0), (8_000, 1.0 - 0.75 / 8.0)];
-    for (age, warmth) in cases {
+    for (age, capacity_share) in cases {
         let allowed = allowance().requests(1.0, age * ms(1.0));
-        assert!((allowed - 200.0 * warmth).abs() < 1e-6, "{age}: {allowed}");
-        assert!((allowance().requests(0.5, age * ms(1.0)) - 100.0 * warmth).abs() < 1e-6);
+        assert!((allowed - 200.0 * capacity_share).abs() < 1e-6, "{age}: {allowed}");
+        assert!((allowance().requests(0.5, age * ms(1.0)) - 100.0 * capacity_share).abs() < 1e-6);
     }
 }
 
 #[test]
-fn every_span_is_counted_and_no_longer_one() {
+fn meter_counts_arrivals_within_one_window_until_warm() {
     let mut meter = SlowStartMeter::new(allowance(), 1.0, 10 * S);
     let first = meter.record(10 * S, 40_000.0, true).unwrap();
     assert_eq!((first.total, first.notified), (1.0, 1.0));
@@ -53,16 +53,16 @@
 }
 
 #[test]
-fn over_the_limit_is_told_of_all_and_the_share_of_the_notified() {
+fn limit_counts_all_proxies_and_share_counts_notified_ones() {
     let mut meter = SlowStartMeter::new(allowance(), 1.0, S);
-    let most = max_requests(50.0);
-    let mut reading = meter.record(S, 0.0, false).unwrap();
+    let limit = max_requests(50.0);
+    let mut load = meter.record(S, 0.0, false).unwrap();
     let mut sent = 0.0;
-    while sent + 1.0 <= most {
+    while sent + 1.0 <= limit {
         sent += 1.0;
-        reading = meter.record(S, 40_000.0, sent <= 10.0).unwrap();
-        assert!(!reading.exceeds_limit(), "{sent} of {most}");
+        load = meter.record(S, 40_000.0, sent <= 10.0).unwrap();
+        assert!(!load.exceeds_limit(), "{sent} of {limit}");
     }
-    assert!((reading.limit_share() - 10.0 / most).abs() < 1e-9);
+    assert!((load.limit_share() - 10.0 / limit).abs() < 1e-9);
     assert!(meter.record(S, 40_000.0, false).unwrap().exceeds_limit());
 }
