--- a/lab/tests/files.rs
+++ b/lab/tests/files.rs
@@ -41,7 +41,7 @@
         ),
         (
             "[[fault]]\nkind = 'origin-stop'\nat_s = 1.0\nlength_s = 1.0\nfactor = 1.0",
-            &["f:5:10: ", "it has none"],
+            &["f:5:10: ", "a `origin-stop` fault has no such parameter; it has none"],
         ),
         (
             "[[tenant]]\nname = 'a'\nshare = 1.0\nusage = 0.0",
