--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use notchdoor_lab::record::{Day, Recorder};
-use notchdoor_model::clients::{ClientBehaviour, Demand};
+use notchdoor_model::clients::{ClientBehaviour, Workload};
 use notchdoor_model::spec::Spec;
 use notchdoor_model::time::{secs, Time};
 use serde::Serialize;
@@ -82,7 +82,7 @@
     if let Some(rate) = options.arrivals.rate() {
         spec.load.rate = rate;
     }
-    let (_, until) = spec.scored();
+    let (_, until) = spec.scored_interval();
     // Request ids of two runs must differ: the time tells the runs apart, and no span is measured with it.
     #[allow(clippy::disallowed_methods)]
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -171,13 +171,13 @@
     let executor = LocalExecutor::new();
     let longest = spec.classes.iter().map(|c| secs(c.deadline_ms / 1e3)).max().unwrap_or(0);
     future::block_on(executor.run(async {
-        let mut demand = Demand::new(spec, spec.rate(), shared.seed);
+        let mut demand = Workload::new(spec, spec.rate(), shared.seed);
         for (n, line) in arrivals.times(spec, shared.seed, until).enumerate() {
-            let mut want = demand.draw(line.at);
+            let mut want = demand.generate(line.at);
             if let Some(class) = line.class {
                 let deadline = secs(spec.classes[class as usize].deadline_ms / 1e3);
                 (want.class, want.write) = (class, spec.classes[class as usize].write);
-                want.until = want.since + deadline;
+                want.deadline = want.requested_at + deadline;
             }
             want.key = line.key.unwrap_or(want.key);
             if n % threads != thread {
--- a/model/src/spec/classes.rs
+++ b/model/src/spec/classes.rs
@@ -1,83 +1,92 @@
-//! The classes and the tenants of a scenario file.
+//! Request classes and tenants of a scenario file.
 
 use super::Effect;
 use crate::time::ms;
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated, as a file words it.
+/// Effect of repeating a request, as named in a scenario file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EffectName {
-    /// Safe to repeat.
-    Safe,
-    /// Carries a key.
-    Keyed,
-    /// Must never run twice.
-    Unsafe,
+    /// Idempotent.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// Deduplicated by key for `window_ms`.
+    #[serde(rename = "keyed")]
+    Deduplicated,
+    /// Must never be executed twice.
+    #[serde(rename = "unsafe")]
+    AtMostOnce,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its share of all requests, beside the others'.
+    /// Weight of this class among all requests.
     pub share: f64,
-    /// Its mean work at a backend, in milliseconds of a standard core.
+    /// Mean work at a backend, in milliseconds of a standard core.
     pub work_ms: f64,
-    /// How widely that varies.
+    /// Coefficient of variation of the work.
     #[serde(default)]
     pub work_cv: f64,
-    /// Wanted within.
-    pub aim_ms: f64,
-    /// Given up after.
+    /// Latency objective, in milliseconds.
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
+    /// Client deadline, in milliseconds.
     pub deadline_ms: f64,
-    /// What one is worth.
-    pub worth: f64,
-    /// The share of the worth that an answer after the aim still earns.
-    #[serde(default)]
-    pub late_worth: f64,
-    /// What may be repeated.
+    /// Priority weight of a request.
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
+    /// Share of the weight that a response after the latency objective still earns.
+    #[serde(default, rename = "late_worth")]
+    pub late_value_share: f64,
+    /// Effect of repeating a request.
     pub effect: EffectName,
-    /// For how long repeats are dropped.
+    /// Deduplication window, in milliseconds.
     #[serde(default)]
     pub window_ms: f64,
-    /// Whether it writes.
+    /// Whether requests of this class are writes.
     #[serde(default)]
     pub write: bool,
 }
 
 impl ClassSpec {
-    /// What may be repeated.
+    /// Effect of repeating a request, with its deduplication window.
     pub fn effect(&self) -> Effect {
         match self.effect {
-            EffectName::Safe => Effect::Safe,
-            EffectName::Keyed => Effect::Keyed { window: ms(self.window_ms) },
-            EffectName::Unsafe => Effect::Unsafe,
+            EffectName::Idempotent => Effect::Idempotent,
+            EffectName::Deduplicated => Effect::Deduplicated { window: ms(self.window_ms) },
+            EffectName::AtMostOnce => Effect::AtMostOnce,
         }
     }
 
-    /// The classes of a spec that names none.
-    pub(super) fn usual() -> Vec<ClassSpec> {
-        let class =
-            |name: &str, share, work_ms, (aim_ms, deadline_ms), (worth, late_worth), effect| ClassSpec {
-                name: name.to_owned(),
-                share,
-                work_ms,
-                work_cv: 0.5,
-                aim_ms,
-                deadline_ms,
-                worth,
-                late_worth,
-                effect,
-                window_ms: if effect == EffectName::Keyed { 2000.0 } else { 0.0 },
-                write: effect != EffectName::Safe,
-            };
+    /// Classes of a spec that lists none.
+    pub(super) fn defaults() -> Vec<ClassSpec> {
+        let class = |name: &str,
+                     share,
+                     work_ms,
+                     (latency_objective_ms, deadline_ms),
+                     (priority_weight, late_value_share),
+                     effect| ClassSpec {
+            name: name.to_owned(),
+            share,
+            work_ms,
+            work_cv: 0.5,
+            latency_objective_ms,
+            deadline_ms,
+            priority_weight,
+            late_value_share,
+            effect,
+            window_ms: if effect == EffectName::Deduplicated { 2000.0 } else { 0.0 },
+            write: effect != EffectName::Idempotent,
+        };
         vec![
-            class("read-sheet", 0.914, 41.0, (750.0, 2000.0), (2.0, 0.2), EffectName::Safe),
-            class("fix-hours", 0.046, 48.0, (800.0, 2000.0), (3.0, 0.5), EffectName::Keyed),
-            class("close-week", 0.04, 50.0, (300.0, 600.0), (8.0, 0.25), EffectName::Unsafe),
+            class("read-sheet", 0.914, 41.0, (750.0, 2000.0), (2.0, 0.2), EffectName::Idempotent),
+            class("fix-hours", 0.046, 48.0, (800.0, 2000.0), (3.0, 0.5), EffectName::Deduplicated),
+            class("close-week", 0.04, 50.0, (300.0, 600.0), (8.0, 0.25), EffectName::AtMostOnce),
         ]
     }
 }
@@ -86,17 +95,17 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share of the capacity.
+    /// Quota, as a share of the capacity that quotas divide.
     pub share: f64,
-    /// How much of its share it uses.
+    /// Demand relative to the quota.
     pub usage: f64,
 }
 
 impl TenantSpec {
-    /// The tenants of a spec that names none.
-    pub(super) fn usual() -> Vec<TenantSpec> {
+    /// Tenants of a spec that lists none.
+    pub(super) fn defaults() -> Vec<TenantSpec> {
         let tenant = |name: &str, share, usage| TenantSpec { name: name.to_owned(), share, usage };
         vec![
             tenant("constructora-ceiba", 0.45, 1.0),
--- a/model/tests/machines.rs
+++ b/model/tests/machines.rs
@@ -1,35 +1,40 @@
-//! Machines, the discovery service, the network and the front: what each does when, as tables.
+//! Backends, load reports, discovery service, network, front load balancer and station.
 
-use notchdoor_model::backend::{Backend, Figures, OnCancel, State, Taken};
-use notchdoor_model::discovery::{self, Discovery, Line, Listed, Telling, Told};
-use notchdoor_model::front::Front;
-use notchdoor_model::memory::{Evict, Truth};
-use notchdoor_model::network::{Connection, Connections, Network, Silence};
+use notchdoor_model::backend::{Admission, Backend, Config, OnCancel, State};
+use notchdoor_model::cache::{EvictionPolicy, Validity};
+use notchdoor_model::discovery::{self, Delivery, Discovery, EndpointEntry, EndpointUpdate, ListedState};
+use notchdoor_model::front::FrontBalancer;
+use notchdoor_model::network::{Connection, Connections, Network, SilentMachines};
 use notchdoor_model::report::Reporter;
-use notchdoor_model::station::{self, Crowding, Offer, Station};
+use notchdoor_model::station::{self, Contention, Station};
 use notchdoor_model::time::{rng, Purpose, Time, MS, S};
 
-fn backend(slots: usize, room: usize) -> Backend {
-    let figures = Figures {
-        station: station::Figures { cores: 1.0, slots, room, crowding: Crowding::default() },
+fn new_backend(slots: usize, room: usize) -> Backend {
+    let config = Config {
+        station: station::Config {
+            cores: 1.0,
+            slots,
+            queue_capacity: room,
+            contention: Contention::default(),
+        },
         speed: 0.5,
-        cold_from: 0.4,
-        cold: 8 * S,
-        fall_multiple: 4.0,
-        fall_time: 2 * S,
-        memory: 100,
-        evict: Evict::Lru,
+        initial_capacity_share: 0.4,
+        warmup: 8 * S,
+        overload_multiple: 4.0,
+        overload_window: 2 * S,
+        cache_capacity: 100,
+        eviction: EvictionPolicy::Lru,
         error_rate: 0.0,
-        on_cancel: OnCancel::DropsWaiting,
-        choke: None,
-        connections: 2,
-        full_tax: 0.0,
+        on_cancel: OnCancel::DropWaiting,
+        degradation: None,
+        max_connections: 2,
+        max_connection_overhead: 0.0,
     };
-    Backend::new(figures, Reporter::new(500 * MS, 300 * MS, 0.0, 0), 40_000.0)
+    Backend::new(config, Reporter::new(500 * MS, 300 * MS, 0.0, 0), 40_000.0)
 }
 
-/// Runs a backend until it rests; when each request was done.
-fn rest(backend: &mut Backend) -> Vec<(u64, Time)> {
+/// Runs a backend until it is idle. Returns the finish time of each request.
+fn run_until_idle(backend: &mut Backend) -> Vec<(u64, Time)> {
     let mut done = Vec::new();
     while let Some(at) = backend.wake_at() {
         backend.advance(at, &mut done);
@@ -38,206 +43,233 @@
 }
 
 #[test]
-fn a_backend_keeps_misses_fills_and_turns_away() {
-    let (mut w, truth) = (backend(1, 1), Truth::new(None));
-    assert_eq!(w.offer(0, 1, 7, 10_000.0, false, &truth), Taken::Miss);
-    w.store(7, 0, 8);
-    assert_eq!(w.offer(0, 1, 7, 10_000.0, false, &truth), Taken::InWork);
-    assert_eq!(w.offer(0, 2, 7, 10_000.0, false, &truth), Taken::InWork);
-    // Turned away unseen: it is not said whether the key is kept.
-    assert_eq!(w.offer(0, 3, 8, 10_000.0, false, &truth), Taken::Full);
-    // Half the speed of a standard core, one after another.
-    assert_eq!(rest(&mut w), [(1, 20_000), (2, 40_000)]);
+fn backend_misses_uncached_keys_and_rejects_when_full() {
+    let (mut backend, validity) = (new_backend(1, 1), Validity::new(None));
+    assert_eq!(backend.offer(0, 1, 7, 10_000.0, false, &validity), Admission::Miss);
+    backend.store(7, 0, 8);
+    assert_eq!(backend.offer(0, 1, 7, 10_000.0, false, &validity), Admission::Accepted);
+    assert_eq!(backend.offer(0, 2, 7, 10_000.0, false, &validity), Admission::Accepted);
+    // Rejected before the key is looked up.
+    assert_eq!(backend.offer(0, 3, 8, 10_000.0, false, &validity), Admission::Full);
+    // Half the speed of a standard core, one request after the other.
+    assert_eq!(run_until_idle(&mut backend), [(1, 20_000), (2, 40_000)]);
 }
 
 #[test]
-fn what_waits_is_dropped_when_nobody_waits_for_it_and_what_runs_goes_on() {
-    let (mut w, truth) = (backend(1, 2), Truth::new(None));
-    w.store(7, 0, 8);
+fn cancel_drops_queued_request_and_keeps_running_one() {
+    let (mut backend, validity) = (new_backend(1, 2), Validity::new(None));
+    backend.store(7, 0, 8);
     for job in 1..=3 {
-        w.offer(0, job, 7, 10_000.0, false, &truth);
+        backend.offer(0, job, 7, 10_000.0, false, &validity);
     }
-    assert!(!w.cancel(0, 1), "it is in work");
-    assert!(w.cancel(0, 2) && !w.cancel(0, 2));
-    assert_eq!(rest(&mut w), [(1, 20_000), (3, 40_000)]);
+    assert!(!backend.cancel(0, 1), "running requests are not dropped");
+    assert!(backend.cancel(0, 2) && !backend.cancel(0, 2));
+    assert_eq!(run_until_idle(&mut backend), [(1, 20_000), (3, 40_000)]);
 }
 
 #[test]
-fn a_started_backend_is_cold_empty_and_falls_over_when_pushed() {
-    let (mut w, truth) = (backend(16, 3), Truth::new(None));
-    w.store(7, 0, 8);
-    assert_eq!(w.kill(S), []);
-    assert_eq!(w.state(), State::Down);
-    w.start(2 * S);
+fn restarted_backend_is_cold_and_empty_and_crashes_when_overloaded() {
+    let (mut backend, validity) = (new_backend(16, 3), Validity::new(None));
+    backend.store(7, 0, 8);
+    assert_eq!(backend.kill(S), []);
+    assert_eq!(backend.state(), State::Down);
+    backend.start(2 * S);
     let mut done = Vec::new();
-    w.advance(2 * S, &mut done);
-    assert!((w.warmth(2 * S) - 0.4).abs() < 1e-9 && (w.warmth(6 * S) - 0.7).abs() < 1e-9);
-    assert_eq!(w.warmth(10 * S), 1.0);
-    assert_eq!(w.offer(2 * S, 1, 7, 1_000.0, true, &truth), Taken::Miss, "it is empty");
-    // 0.5 x 0.4 of a core for 2 s, four times over, and a little for chance: 1.6 s of work and 0.16.
-    let sent = (0..).map(|n| (n, w.offer(2 * S, 10 + n, 7, 40_000.0, n % 4 != 0, &truth)));
+    backend.advance(2 * S, &mut done);
+    assert!(
+        (backend.capacity_share(2 * S) - 0.4).abs() < 1e-9
+            && (backend.capacity_share(6 * S) - 0.7).abs() < 1e-9
+    );
+    assert_eq!(backend.capacity_share(10 * S), 1.0);
+    assert_eq!(
+        backend.offer(2 * S, 1, 7, 1_000.0, true, &validity),
+        Admission::Miss,
+        "the cache is empty after a start"
+    );
+    // Capacity 0.5 x 0.4 of a core over 2 s, times 4, is 1.6 s of work; the slack is 0.16 s.
+    let sent = (0..).map(|n| (n, backend.offer(2 * S, 10 + n, 7, 40_000.0, n % 4 != 0, &validity)));
     let (n, over) = sent
-        .filter_map(|(n, taken)| if let Taken::Falls(over) = taken { Some((n, over)) } else { None })
+        .filter_map(|(n, taken)| if let Admission::Overloaded(over) = taken { Some((n, over)) } else { None })
         .next()
         .unwrap();
-    assert!((42..46).contains(&n), "at the {n}th");
-    assert!((over.blamed / over.sent - 0.75).abs() < 0.03, "three in four were sent by those who knew");
+    assert!((42..46).contains(&n), "overloaded at request {n}");
+    assert!((over.attributed / over.sent - 0.75).abs() < 0.03, "three in four came from notified proxies");
 }
 
 #[test]
-fn a_cold_backend_s_pace_rises_while_it_works() {
-    let (mut w, truth) = (backend(16, 3), Truth::new(None));
-    w.kill(0);
-    w.start(S);
-    w.store(7, S, 8);
+fn warming_backend_speeds_up_while_processing() {
+    let (mut backend, validity) = (new_backend(16, 3), Validity::new(None));
+    backend.kill(0);
+    backend.start(S);
+    backend.store(7, S, 8);
     let mut done = Vec::new();
-    w.advance(S, &mut done);
-    w.offer(S, 1, 7, 1_000_000.0, false, &truth);
-    let (_, at) = rest(&mut w)[0];
-    // Work done by t is 0.5 (0.4 t + 0.6 t^2 / 16): 1 s of it takes 3.710 s.
+    backend.advance(S, &mut done);
+    backend.offer(S, 1, 7, 1_000_000.0, false, &validity);
+    let (_, at) = run_until_idle(&mut backend)[0];
+    // Work done by t is 0.5 (0.4 t + 0.6 t^2 / 16); 1 s of work takes 3.710 s.
     let took = (at - S) as f64 / 1e6;
     assert!((took - 3.710).abs() < 0.02, "{took}");
 }
 
 #[test]
-fn another_program_takes_its_share_and_the_table_of_connections_is_full_at_its_end() {
-    let (mut w, truth) = (backend(4, 0), Truth::new(None));
-    w.store(7, 0, 8);
-    w.steal(0, 0.5);
-    w.offer(0, 1, 7, 10_000.0, false, &truth);
-    assert_eq!(rest(&mut w), [(1, 40_000)]);
-    assert!(w.connect(true) && w.connect(true) && !w.connect(true));
-    w.connect(false);
-    assert!(w.connect(true));
-    w.drain();
-    assert_eq!(w.offer(40_000, 2, 7, 1.0, false, &truth), Taken::Full);
+fn stolen_cpu_slows_backend_and_connection_limit_is_enforced() {
+    let (mut backend, validity) = (new_backend(4, 0), Validity::new(None));
+    backend.store(7, 0, 8);
+    backend.set_stolen_cpu_share(0, 0.5);
+    backend.offer(0, 1, 7, 10_000.0, false, &validity);
+    assert_eq!(run_until_idle(&mut backend), [(1, 40_000)]);
+    assert!(backend.connect(true) && backend.connect(true) && !backend.connect(true));
+    backend.connect(false);
+    assert!(backend.connect(true));
+    backend.drain();
+    assert_eq!(backend.offer(40_000, 2, 7, 1.0, false, &validity), Admission::Full);
 }
 
 #[test]
-fn reports_are_late_and_later_in_trouble() {
+fn reports_are_delayed_and_further_under_delay_fault() {
     let mut reporter = Reporter::new(500 * MS, 300 * MS, 0.0, 0);
     let mut rng = rng(1, Purpose::Service);
     for n in 1..=100u64 {
-        reporter.count(n * 10 * MS, n % 10 == 0, 1.0, &mut rng);
+        reporter.record_request(n * 10 * MS, n % 10 == 0, 1.0, &mut rng);
     }
-    assert_eq!(reporter.seen(799 * MS), None);
-    let report = reporter.seen(800 * MS).unwrap();
+    assert_eq!(reporter.latest_visible(799 * MS), None);
+    let report = reporter.latest_visible(800 * MS).unwrap();
     assert!((report.qps - 100.0).abs() < 1e-9 && (report.eps - 10.0).abs() < 1e-9, "{report:?}");
-    reporter.trouble(2 * S, 0);
-    assert_eq!(reporter.seen(1_299 * MS), None, "what was out is late now");
-    assert!(reporter.seen(3_300 * MS).is_some_and(|r| r.made == S));
+    reporter.set_delay_fault(2 * S, 0);
+    assert_eq!(reporter.latest_visible(1_299 * MS), None, "visible reports are delayed as well");
+    assert!(reporter.latest_visible(3_300 * MS).is_some_and(|report| report.created_at == S));
 }
 
-fn line(server: u32, state: Listed) -> Line {
-    Line { server, kind: 0, zone: 0, cell: 0, size: 1.0, started: 0, state }
+fn entry(server: u32, state: ListedState) -> EndpointEntry {
+    EndpointEntry { server, kind: 0, zone: 0, cell: 0, size: 1.0, started: 0, state }
 }
 
-const REGISTRY: discovery::Figures = discovery::Figures {
-    add_notice: S,
-    notice: 3 * S,
-    silent_notice: 9 * S,
-    period: 500 * MS,
-    spread: 50 * MS,
-    call: 100 * MS,
-    line: 0,
-    timeout: S,
+const DISCOVERY_CONFIG: discovery::Config = discovery::Config {
+    add_delay: S,
+    removal_delay: 3 * S,
+    silent_removal_delay: 9 * S,
+    publish_period: 500 * MS,
+    max_delivery_delay: 50 * MS,
+    call_time: 100 * MS,
+    call_time_per_endpoint: 0,
+    call_timeout: S,
 };
 
-/// Runs a discovery service until `until`; what it told.
-fn told(discovery: &mut Discovery, until: Time) -> Vec<Telling> {
-    let mut out = Vec::new();
+/// Runs a discovery service until `until`. Returns its deliveries.
+fn run_until(discovery: &mut Discovery, until: Time) -> Vec<Delivery> {
+    let mut deliveries = Vec::new();
     while let Some(at) = discovery.wake_at().filter(|at| *at <= until) {
-        discovery.advance(at, &mut out);
+        discovery.advance(at, &mut deliveries);
     }
-    out
+    deliveries
 }
 
 #[test]
-fn the_discovery_service_tells_late_in_turn_and_in_order() {
-    let mut r = Discovery::new(REGISTRY, [line(1, Listed::Serving), line(2, Listed::Serving)], 4);
-    let mut out = Vec::new();
+fn discovery_answers_calls_in_turn_and_publishes_changes_after_delay() {
+    let mut discovery =
+        Discovery::new(DISCOVERY_CONFIG, [entry(1, ListedState::Serving), entry(2, ListedState::Serving)], 4);
+    let mut deliveries = Vec::new();
     for proxy in 0..15 {
-        r.watch(0, proxy, &mut out);
+        discovery.watch(0, proxy, &mut deliveries);
     }
-    // One queue: the eleventh would wait a whole second, the twelfth longer.
-    assert_eq!(out.iter().filter(|t| matches!(t.told, Told::Error)).count(), 4);
-    let lists = told(&mut r, 2 * S);
+    // Calls are answered one by one: the eleventh waits a full second, the twelfth would wait longer.
+    assert_eq!(deliveries.iter().filter(|t| matches!(t.update, EndpointUpdate::Error)).count(), 4);
+    let lists = run_until(&mut discovery, 2 * S);
     assert_eq!(lists.len(), 11);
-    assert!(lists.iter().all(|t| matches!(&t.told, Told::Whole(l) if l.len() == 2)));
-    assert!(lists.windows(2).all(|w| w[0].at < w[1].at + 50 * MS));
-    r.change(2 * S, line(1, Listed::Draining), false);
-    r.change(2 * S, line(2, Listed::Gone), true);
-    let changes = told(&mut r, 20 * S);
-    let first = |i: usize| match &changes[i].told {
-        Told::Changes(lines) => (lines[0].server, lines[0].state, changes[i].at),
+    assert!(lists.iter().all(|t| matches!(&t.update, EndpointUpdate::FullList(l) if l.len() == 2)));
+    assert!(lists.windows(2).all(|pair| pair[0].at < pair[1].at + 50 * MS));
+    discovery.schedule_change(2 * S, entry(1, ListedState::Draining), false);
+    discovery.schedule_change(2 * S, entry(2, ListedState::Gone), true);
+    let changes = run_until(&mut discovery, 20 * S);
+    let first = |i: usize| match &changes[i].update {
+        EndpointUpdate::Changes(lines) => (lines[0].server, lines[0].state, changes[i].at),
         other => panic!("{other:?}"),
     };
     let (server, state, at) = first(0);
-    assert_eq!((server, state), (1, Listed::Draining));
-    assert!((5 * S..5_600 * MS).contains(&at), "3 s late, published on the next half second: {at}");
+    assert_eq!((server, state), (1, ListedState::Draining));
+    assert!((5 * S..5_600 * MS).contains(&at), "listed after 3 s, published at the next half second: {at}");
     let (server, state, at) = first(11);
-    assert_eq!((server, state), (2, Listed::Gone));
-    assert!((11 * S..11_600 * MS).contains(&at), "a silent machine is noticed later: {at}");
-    assert_eq!(r.list().len(), 1);
+    assert_eq!((server, state), (2, ListedState::Gone));
+    assert!((11 * S..11_600 * MS).contains(&at), "a silent machine is listed as gone later: {at}");
+    assert_eq!(discovery.list().len(), 1);
 }
 
 #[test]
-fn a_discovery_service_that_goes_down_ends_watches_and_fails_calls() {
-    let mut r = Discovery::new(REGISTRY, [line(1, Listed::Serving)], 4);
-    let mut out = Vec::new();
-    r.watch(0, 0, &mut out);
-    told(&mut r, S);
-    assert!(r.attends(0));
-    r.down(S, 4 * S, &mut out);
-    assert!(matches!(out[..], [Telling { proxy: 0, told: Told::Error, .. }]) && !r.attends(0));
-    r.watch(2 * S, 0, &mut out);
-    assert!(matches!(out[1], Telling { told: Told::Error, at, .. } if at >= 3 * S));
-    r.change(S, line(2, Listed::Serving), false);
-    assert!(told(&mut r, 5 * S).is_empty(), "nobody watches");
-    r.watch(5 * S, 0, &mut out);
-    let whole = told(&mut r, 6 * S);
-    assert!(matches!(&whole[0].told, Told::Whole(l) if l.len() == 2), "what was missed is in the list");
-    // One that is back before it was listed as gone is not told gone.
-    r.change(6 * S, line(1, Listed::Gone), true);
-    r.take_back(1);
-    assert!(told(&mut r, 60 * S).is_empty());
+fn discovery_outage_ends_watches_and_fails_calls() {
+    let mut discovery = Discovery::new(DISCOVERY_CONFIG, [entry(1, ListedState::Serving)], 4);
+    let mut deliveries = Vec::new();
+    discovery.watch(0, 0, &mut deliveries);
+    run_until(&mut discovery, S);
+    assert!(discovery.is_watching(0));
+    discovery.fail_until(S, 4 * S, &mut deliveries);
+    assert!(
+        matches!(deliveries[..], [Delivery { proxy: 0, update: EndpointUpdate::Error, .. }])
+            && !discovery.is_watching(0)
+    );
+    discovery.watch(2 * S, 0, &mut deliveries);
+    assert!(matches!(deliveries[1], Delivery { update: EndpointUpdate::Error, at, .. } if at >= 3 * S));
+    discovery.schedule_change(S, entry(2, ListedState::Serving), false);
+    assert!(run_until(&mut discovery, 5 * S).is_empty(), "no proxy watches");
+    discovery.watch(5 * S, 0, &mut deliveries);
+    let whole = run_until(&mut discovery, 6 * S);
+    assert!(
+        matches!(&whole[0].update, EndpointUpdate::FullList(l) if l.len() == 2),
+        "the list includes missed changes"
+    );
+    // A server that is back before its removal was listed is not reported as gone.
+    discovery.schedule_change(6 * S, entry(1, ListedState::Gone), true);
+    discovery.discard_pending(1);
+    assert!(run_until(&mut discovery, 60 * S).is_empty());
 }
 
 #[test]
 fn connections_are_pooled_and_closed_when_idle() {
-    let mut c = Connections::new(2, 10 * S);
-    let takes = |c: &mut Connections, now| c.take(now, 0, 5);
-    assert_eq!(takes(&mut c, 0), (Connection::New, 0));
-    assert_eq!(takes(&mut c, 0), (Connection::Open, 0), "two at a time on each");
-    assert_eq!(takes(&mut c, 0), (Connection::New, 0));
+    let mut connections = Connections::new(2, 10 * S);
+    let acquire = |connections: &mut Connections, now| connections.acquire(now, 0, 5);
+    assert_eq!(acquire(&mut connections, 0), (Connection::New, 0));
+    assert_eq!(acquire(&mut connections, 0), (Connection::Reused, 0), "two streams per connection");
+    assert_eq!(acquire(&mut connections, 0), (Connection::New, 0));
     for _ in 0..3 {
-        c.give_back(S, 0, 5, false);
+        connections.release(S, 0, 5, false);
     }
-    assert_eq!(c.busy(0, 5), 0);
-    assert_eq!(takes(&mut c, 5 * S), (Connection::Open, 0));
-    c.give_back(5 * S, 0, 5, false);
-    assert_eq!(takes(&mut c, 20 * S), (Connection::New, 2), "both were closed for idleness");
-    c.give_back(20 * S, 0, 5, true);
-    assert_eq!(takes(&mut c, 20 * S), (Connection::New, 0), "one given up is not used again");
-    c.take(0, 1, 5);
-    assert_eq!(c.drop_proxy(0), [(5, 1)]);
-    c.drop_machine(5);
-    assert_eq!(c.pools(), 0);
+    assert_eq!(connections.streams_in_use(0, 5), 0);
+    assert_eq!(acquire(&mut connections, 5 * S), (Connection::Reused, 0));
+    connections.release(5 * S, 0, 5, false);
+    assert_eq!(acquire(&mut connections, 20 * S), (Connection::New, 2), "both were closed for idleness");
+    connections.release(20 * S, 0, 5, true);
+    assert_eq!(
+        acquire(&mut connections, 20 * S),
+        (Connection::New, 0),
+        "a connection closed by its request is not reused"
+    );
+    connections.acquire(0, 1, 5);
+    assert_eq!(connections.close_proxy(0), [(5, 1)]);
+    connections.close_server(5);
+    assert_eq!(connections.pool_count(), 0);
 }
 
 #[test]
-fn a_cut_zone_reaches_itself_alone_and_a_silent_machine_nobody() {
+fn isolated_zone_reaches_only_itself_and_silence_ends_on_time() {
     let mut rng = rng(1, Purpose::Network);
-    let mut net = Network::new(3, 200, (8 * MS, 16 * MS), 0.2, &mut rng);
-    assert!(net.linked(0, 2) && net.usual(0, 0) == 200 && (8 * MS..=16 * MS).contains(&net.usual(0, 1)));
-    assert_eq!(net.usual(0, 1), net.usual(1, 0));
-    let delay = net.delay(0, 1, &mut rng);
-    assert!((net.usual(0, 1)..=net.usual(0, 1) * 6 / 5).contains(&delay));
-    net.cut_zone(1, true);
-    assert!(!net.linked(0, 1) && !net.linked(1, 2) && net.linked(1, 1) && net.linked(0, 2));
-    net.cut_zone(1, false);
-    assert!(net.linked(0, 1));
-    let mut silence = Silence::default();
+    let mut network = Network::new(3, 200, (8 * MS, 16 * MS), 0.2, &mut rng);
+    assert!(
+        network.is_reachable(0, 2)
+            && network.base_delay(0, 0) == 200
+            && (8 * MS..=16 * MS).contains(&network.base_delay(0, 1))
+    );
+    assert_eq!(network.base_delay(0, 1), network.base_delay(1, 0));
+    let delay = network.delay(0, 1, &mut rng);
+    assert!((network.base_delay(0, 1)..=network.base_delay(0, 1) * 6 / 5).contains(&delay));
+    network.set_zone_isolated(1, true);
+    assert!(
+        !network.is_reachable(0, 1)
+            && !network.is_reachable(1, 2)
+            && network.is_reachable(1, 1)
+            && network.is_reachable(0, 2)
+    );
+    network.set_zone_isolated(1, false);
+    assert!(network.is_reachable(0, 1));
+    let mut silence = SilentMachines::default();
     silence.begin(3, 5 * S);
     assert!(silence.is_silent(3, 4 * S) && !silence.is_silent(3, 5 * S) && !silence.is_silent(2, 0));
     silence.end(3);
@@ -245,10 +277,10 @@
 }
 
 #[test]
-fn the_front_deals_within_the_zone_and_notices_a_dead_proxy_late() {
-    let mut front = Front::new([0, 1, 0], 2 * S);
+fn front_balancer_prefers_local_zone_and_detects_stopped_proxy_after_delay() {
+    let mut front = FrontBalancer::new([0, 1, 0], 2 * S);
     let mut rng = rng(1, Purpose::Clients);
-    let mut picks = |front: &Front, now, zone| {
+    let mut picks = |front: &FrontBalancer, now, zone| {
         let mut all: Vec<Option<u32>> = (0..50).map(|_| front.pick(now, zone, &mut rng)).collect();
         all.sort();
         all.dedup();
@@ -256,36 +288,37 @@
     };
     assert_eq!(picks(&front, 0, 0), [Some(0), Some(2)]);
     assert_eq!(picks(&front, 0, 1), [Some(1)]);
-    front.set_died(1, Some(S));
-    assert_eq!(picks(&front, 2 * S, 1), [Some(1)], "not noticed yet");
-    assert_eq!(picks(&front, 3 * S, 1), [Some(0), Some(2)], "others take its zone");
-    front.set_died(0, Some(S));
-    front.set_died(2, Some(S));
+    front.set_down_since(1, Some(S));
+    assert_eq!(picks(&front, 2 * S, 1), [Some(1)], "not detected yet");
+    assert_eq!(picks(&front, 3 * S, 1), [Some(0), Some(2)], "proxies of other zones serve the zone");
+    front.set_down_since(0, Some(S));
+    front.set_down_since(2, Some(S));
     assert_eq!(picks(&front, 9 * S, 0), [None]);
-    front.set_died(2, None);
+    front.set_down_since(2, None);
     assert_eq!(picks(&front, 9 * S, 0), [Some(2)]);
 }
 
-/// Guards a bound that random days found broken: an origin that has just been made smaller holds more than fits.
+/// Guards against a station that exceeds its limit right after its capacity was reduced.
 #[test]
-fn a_station_made_smaller_finishes_what_it_has_and_takes_nothing_more() {
-    let figures = station::Figures { cores: 8.0, slots: 8, room: 2, crowding: Crowding::default() };
-    // With somebody waiting when it is made smaller, and with nobody.
+fn resized_station_finishes_excess_requests_and_accepts_no_new_ones() {
+    let config =
+        station::Config { cores: 8.0, slots: 8, queue_capacity: 2, contention: Contention::default() };
+    // With and without queued requests at the time of the reduction.
     for held in [10, 8] {
-        let mut s = Station::new(figures, 1.0, 0);
-        assert!((0..held).all(|job| s.offer(0, job, 1_000.0) == Offer::Taken));
-        s.resize(1.0, 1);
-        assert_eq!((s.held(), s.bound()), (held as usize, held as usize));
-        assert_eq!(s.offer(0, 11, 1.0), Offer::Full);
+        let mut station = Station::new(config, 1.0, 0);
+        assert!((0..held).all(|job| station.offer(0, job, 1_000.0) == station::Admission::Accepted));
+        station.resize(1.0, 1);
+        assert_eq!((station.in_flight(), station.max_in_flight()), (held as usize, held as usize));
+        assert_eq!(station.offer(0, 11, 1.0), station::Admission::Full);
         let mut done = Vec::new();
-        while let Some(at) = s.wake_at() {
-            s.advance(at, &mut done);
-            assert!(s.held() <= s.bound() && s.bound() >= 3);
+        while let Some(at) = station.wake_at() {
+            station.advance(at, &mut done);
+            assert!(station.in_flight() <= station.max_in_flight() && station.max_in_flight() >= 3);
         }
         assert_eq!(
-            (done.len(), s.bound()),
+            (done.len(), station.max_in_flight()),
             (held as usize, 3),
-            "the bound is the new one once they are done"
+            "the reduced limit applies once the excess is done"
         );
     }
 }
