--- a/proxy/src/wire/admin.rs
+++ b/proxy/src/wire/admin.rs
@@ -1,57 +1,57 @@
-//! The operators' side: one HTTP/1.1 call to each connection, fed as bytes; a call comes out, or why it is none.
+//! Parses HTTP/1.1 admin requests and encodes the replies. Each connection carries one request.
 
-/// The longest head and the most header lines.
+/// Limits on the request head.
 const MAX_HEAD: usize = 8 * 1024;
 const MAX_HEADERS: usize = 64;
-/// The longest body, with the marks of its pieces: one backend's name and some white space.
+/// Maximum body size, chunk framing included. A body contains only a backend name.
 const MAX_BODY: usize = 4 * 1024;
 
-/// What an operator wants.
+/// An admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process takes clients.
+    /// `GET /_ready`: reports whether this process accepts clients.
     Ready,
-    /// The figures.
+    /// `GET /_vars`: returns the metrics as JSON.
     Vars,
-    /// Nothing more to this backend.
+    /// `POST /_cache-nodes/detach`: drains the backend with this name.
     Detach(String),
-    /// Put this backend back.
+    /// `POST /_cache-nodes/attach`: ends the drain of the backend with this name.
     Attach(String),
 }
 
-/// Why something is no call.
+/// Why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The bytes are not HTTP, or the body names no backend.
+    /// The request is not valid HTTP, or its body is not a backend name. Contains the reply text.
     Bad(&'static str),
-    /// There is no such path.
+    /// The path is unknown.
     NotFound,
-    /// The path takes another method: this one.
+    /// The path requires another method, which is given.
     Method(&'static str),
-    /// The head is too long.
+    /// The head exceeds its size limit or has too many headers.
     HeadTooLarge,
-    /// The body is too long.
+    /// The body exceeds its size limit.
     BodyTooLarge,
 }
 
-/// An answer to a call.
+/// The reply to an admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body, as text or, where it begins with a brace, as JSON.
+    /// Body. Sent as JSON if it starts with `{`, else as plain text.
     pub body: String,
-    /// What a wrong method should have been.
+    /// Value of the `Allow` header, set for status 405.
     pub allow: Option<&'static str>,
 }
 
 impl Reply {
-    /// An answer of one line.
+    /// A plain-text reply; a line feed is appended to `text`.
     pub fn line(status: u16, text: &str) -> Self {
         Reply { status, body: format!("{text}\n"), allow: None }
     }
 
-    /// As it is written.
+    /// Encodes the reply as an HTTP/1.1 response that closes the connection.
     pub fn encode(&self) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -82,12 +82,12 @@
     fn from(error: RequestError) -> Self {
         match error {
             RequestError::Bad(why) => Reply::line(400, why),
-            RequestError::NotFound => Reply::line(404, "no such path"),
+            RequestError::NotFound => Reply::line(404, "path not found"),
             RequestError::Method(allow) => {
-                Reply { allow: Some(allow), ..Reply::line(405, &format!("this path takes {allow}")) }
+                Reply { allow: Some(allow), ..Reply::line(405, &format!("method not allowed; use {allow}")) }
             }
-            RequestError::HeadTooLarge => Reply::line(431, "the head is too long"),
-            RequestError::BodyTooLarge => Reply::line(413, "the body is too long"),
+            RequestError::HeadTooLarge => Reply::line(431, "request head is too large"),
+            RequestError::BodyTooLarge => Reply::line(413, "request body is too large"),
         }
     }
 }
@@ -125,18 +125,18 @@
     Chunks,
 }
 
-/// Reads one call.
+/// Incremental parser of one admin request.
 #[derive(Default)]
 pub struct RequestReader {
     buffer: Vec<u8>,
-    /// What the head says, once it is whole, and where the body begins.
+    /// The parsed head: path, body framing and the offset of the body.
     head: Option<(Path, Body, usize)>,
 }
 
 impl RequestReader {
-    /// Takes what has come in; a call or a error once it can be told. What follows it is not read.
+    /// Feeds received bytes. Returns the request or the error once it is known; bytes after it are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<AdminRequest, RequestError>> {
-        // A caller may send on and on: what is over the bounds is refused before it is kept.
+        // Bounds the buffer against callers that never stop sending.
         let room = (MAX_HEAD + MAX_BODY).saturating_sub(self.buffer.len());
         self.buffer.extend_from_slice(bytes.get(..room.min(bytes.len())).unwrap_or_default());
         self.step().transpose()
@@ -191,7 +191,7 @@
             let value = std::str::from_utf8(header.value).unwrap_or_default().trim();
             if header.name.eq_ignore_ascii_case("content-length") {
                 let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-                // More digits than a number can hold are a length over any bound.
+                // A number that overflows exceeds the limit as well.
                 let n = value.parse().unwrap_or(usize::MAX);
                 if !digits || length.is_some_and(|l| l != n) {
                     return Err(RequestError::Bad("Content-Length makes no sense"));
@@ -199,7 +199,7 @@
                 length = Some(n);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 if !value.eq_ignore_ascii_case("chunked") {
-                    return Err(RequestError::Bad("Transfer-Encoding is not known"));
+                    return Err(RequestError::Bad("unsupported Transfer-Encoding"));
                 }
                 chunked = true;
             }
@@ -213,9 +213,9 @@
     }
 }
 
-/// A body in pieces, put together; `None` while its end has not come.
+/// Decodes a chunked body; `None` while it is incomplete.
 fn unchunked(mut rest: &[u8]) -> Result<Option<Vec<u8>>, RequestError> {
-    const BAD: RequestError = RequestError::Bad("the body's pieces make no sense");
+    const BAD: RequestError = RequestError::Bad("malformed chunked body");
     let mut body = Vec::new();
     loop {
         let (at, size) = match httparse::parse_chunk_size(rest) {
@@ -224,7 +224,7 @@
             Err(_) => return Err(BAD),
         };
         if size == 0 {
-            // Trailers say nothing here.
+            // Trailers are ignored.
             return Ok(Some(body));
         }
         if size > MAX_BODY {
@@ -241,9 +241,9 @@
     }
 }
 
-/// A backend's name as a body holds it.
+/// Parses a body that contains one backend name.
 fn name(body: &[u8]) -> Result<String, RequestError> {
-    const BAD: RequestError = RequestError::Bad("the body is to be the name of one cache worker");
+    const BAD: RequestError = RequestError::Bad("the body must be the name of one cache backend");
     let text = std::str::from_utf8(body).map_err(|_| BAD)?.trim();
     let plain = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c.is_control());
     plain.then(|| text.to_owned()).ok_or(BAD)
--- a/proxy/src/wire/admin/tests.rs
+++ b/proxy/src/wire/admin/tests.rs
@@ -60,7 +60,7 @@
         let wrong = reply.is_some_and(|r| r.allow.is_some() != (r.status == 405));
         assert!(!wrong, "{text:.80?}: Allow is for 405");
     }
-    // One that never ends is told so, and is not kept.
+    // A chunked body without an end is rejected, and the buffer stays bounded.
     let mut reader = RequestReader::default();
     let chunks = post("Transfer-Encoding: chunked\r\n\r\n");
     assert_eq!(reader.feed(chunks.as_bytes()), None);
--- a/proxy/src/wire/backend.rs
+++ b/proxy/src/wire/backend.rs
@@ -1,4 +1,4 @@
-//! A backend's side: one command out, one reply back.
+//! Encodes commands to backends and decodes their replies.
 
 use super::command::BackendCommand;
 use super::resp::{write_command, write_command_head, Head, Malformed, Reader, Value};
@@ -6,37 +6,37 @@
 use crate::outcome::AttemptOutcome;
 use notchdoor::Micros;
 
-/// What came back for an attempt.
+/// The decoded reply to one attempt.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub ending: AttemptOutcome,
-    /// The value or the receipt, where it was served.
+    /// The value of a read or the receipt of a write; `None` unless served, and for a streamed value.
     pub value: Option<Vec<u8>>,
-    /// Whether the connection can take another command.
+    /// Whether the connection can be used for another command.
     pub reusable: bool,
 }
 
 impl Reply {
-    /// A reply that brought nothing.
+    /// A reply without a value, on a connection that cannot be reused.
     pub fn bare(ending: AttemptOutcome) -> Self {
         Reply { ending, value: None, reusable: false }
     }
 }
 
-/// A part of a reply.
+/// A decoded part of a reply.
 #[derive(Debug, PartialEq)]
 pub enum Piece {
-    /// A value too large to be kept begins: so many bytes.
+    /// Start of a value larger than [`MAX_VALUE`], which is streamed. Contains its length in bytes.
     Begun(usize),
-    /// Some of its bytes.
+    /// The next bytes of the streamed value.
     Data(Vec<u8>),
-    /// The reply is over. The value that was begun is not in it.
+    /// End of the reply. A streamed value is not repeated in it.
     Over(Reply),
 }
 
-/// The command as the client sent it, but for how long the proxy will wait. A value that passes through follows in
-/// pieces, and then a CR LF.
+/// Encodes the client's command with `wait` as its deadline. A streamed value is not included: the caller sends it
+/// afterwards, followed by CR LF.
 pub fn encode(call: &BackendCommand, wait: Micros) -> Vec<u8> {
     let info = call.info_with_deadline(wait);
     let mut out = Vec::with_capacity(call.size() + 128);
@@ -49,7 +49,7 @@
     out
 }
 
-/// Reads one reply.
+/// Incremental decoder of one reply.
 #[derive(Default)]
 pub struct Decoder {
     reader: Reader,
@@ -58,24 +58,24 @@
 
 #[derive(Default)]
 enum State {
-    /// Nothing tells yet whether the reply holds a large value.
+    /// It is not known yet whether the reply contains a large value.
     #[default]
     Unknown,
-    /// All of it is kept.
+    /// The reply is buffered until it is complete.
     Whole,
-    /// So many bytes of a large value are still to come.
+    /// A large value is streamed; contains the number of bytes still to receive.
     Large(usize),
-    /// What follows a large value.
+    /// The elements after a large value are read.
     Tail,
 }
 
 impl Decoder {
-    /// Whether a reply has begun to come.
+    /// Whether part of a reply has been received.
     pub fn begun(&self) -> bool {
         self.reader.pending() > 0
     }
 
-    /// Takes what has come in and gives what it completes.
+    /// Feeds received bytes and returns the parts of the reply that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Piece> {
         let mut pieces = Vec::new();
         match self.take(bytes, &mut pieces) {
@@ -117,7 +117,7 @@
         let ending = match self.state {
             State::Large(_) => return Ok(()),
             State::Tail => match self.reader.after_bulk(2)?.as_deref() {
-                // The report may be anything: it is not read.
+                // The load report is not interpreted.
                 Some([Value::Bulk(_), _]) => Reply::bare(AttemptOutcome::Served),
                 Some(_) => return Err(Malformed("no reply")),
                 None => return Ok(()),
@@ -127,7 +127,7 @@
                 None => return Ok(()),
             },
         };
-        // Bytes that nobody asked for would be taken for the next command's answer.
+        // Surplus bytes would be taken for the reply to the next command.
         let reusable = ending.ending != AttemptOutcome::Garbled && self.reader.pending() == 0;
         pieces.push(Piece::Over(Reply { reusable, ..ending }));
         Ok(())
@@ -144,7 +144,7 @@
 
 fn judge(value: Value) -> Reply {
     match value {
-        // The value, how it went, the load report. The report may be anything: it is not read.
+        // Value, status and load report. The load report is not interpreted.
         Value::Array(Some(items)) => match <[Value; 3]>::try_from(items) {
             Ok([Value::Bulk(Some(value)), Value::Bulk(_), _]) => {
                 Reply { value: Some(value), ..Reply::bare(AttemptOutcome::Served) }
@@ -157,7 +157,7 @@
             Some(b"ERR") => AttemptOutcome::Errored,
             _ => AttemptOutcome::Garbled,
         }),
-        // Noise may happen to be RESP: no other form is an answer.
+        // Valid RESP of any other form is not a reply.
         _ => Reply::bare(AttemptOutcome::Garbled),
     }
 }
--- a/proxy/src/wire/backend/tests.rs
+++ b/proxy/src/wire/backend/tests.rs
@@ -41,8 +41,8 @@
     assert_eq!(over(behind), Some((AttemptOutcome::Served, false)));
 }
 
-/// How a reply with a large value is taken, fed in parts that end at these places: the bytes passed on, and how
-/// it ended, if it did.
+/// Decodes a reply with a large value that is fed in parts ending at `ends`. Returns the streamed bytes, and the outcome
+/// and `reusable` if the reply is complete.
 fn passed(bytes: &[u8], ends: &[usize]) -> (Vec<u8>, Option<(AttemptOutcome, bool)>) {
     let (mut decoder, mut data, mut over, mut at) = (Decoder::default(), Vec::new(), None, 0);
     for &end in ends.iter().chain([&bytes.len()]) {
@@ -53,7 +53,7 @@
                 Piece::Over(reply) => over = Some((reply.ending, reply.reusable)),
             }
         }
-        assert!(decoder.reader.pending() < 64, "a large value is not kept");
+        assert!(decoder.reader.pending() < 64, "a large value must not be buffered");
         at = end;
     }
     (data, over)
@@ -77,11 +77,11 @@
         let bytes = reply(tail);
         assert_eq!(passed(&bytes, &[]), (value.clone(), over), "{tail:?}");
         if tail.ends_with("late\r\n") {
-            continue; // What comes behind a reply that was whole before is not fed.
+            continue; // A complete reply ends the decoding, so later bytes cannot be fed separately.
         }
         let body = head.len() + value.len();
         for at in (0..head.len() + 3).chain(body - 3..bytes.len()) {
-            // What is noise may be told before all of it has come.
+            // A malformed reply may be detected before all of it is fed.
             let (data, end) = passed(&bytes, &[at]);
             assert!(data == value && end == over, "{tail:?} split at {at}: {end:?}");
         }
