--- a/proxy/src/wire/admin.rs
+++ b/proxy/src/wire/admin.rs
@@ -1,10 +1,10 @@
 //! Parses HTTP/1.1 admin requests and encodes the replies. Each connection carries one request.
 
 /// Limits on the request head.
-const MAX_HEAD: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_HEADERS: usize = 64;
 /// Maximum body size, chunk framing included. A body contains only a backend name.
-const MAX_BODY: usize = 4 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024;
 
 /// An admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
     /// The request is not valid HTTP, or its body is not a backend name. Contains the reply text.
-    Bad(&'static str),
+    Malformed(&'static str),
     /// The path is unknown.
     NotFound,
     /// The path requires another method, which is given.
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
     /// The head exceeds its size limit or has too many headers.
     HeadTooLarge,
     /// The body exceeds its size limit.
@@ -47,7 +47,7 @@
 
 impl Reply {
     /// A plain-text reply; a line feed is appended to `text`.
-    pub fn line(status: u16, text: &str) -> Self {
+    pub fn text(status: u16, text: &str) -> Self {
         Reply { status, body: format!("{text}\n"), allow: None }
     }
 
@@ -65,10 +65,11 @@
             500 => "Internal Server Error",
             _ => "Service Unavailable",
         };
-        let kind = if self.body.starts_with('{') { "application/json" } else { "text/plain; charset=utf-8" };
+        let content_type =
+            if self.body.starts_with('{') { "application/json" } else { "text/plain; charset=utf-8" };
         let allow = self.allow.map(|method| format!("Allow: {method}\r\n")).unwrap_or_default();
         format!(
-            "HTTP/1.1 {} {reason}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n{allow}Cache-Control: no-store\r\n\
+            "HTTP/1.1 {} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n{allow}Cache-Control: no-store\r\n\
              Connection: close\r\n\r\n{}",
             self.status,
             self.body.len(),
@@ -81,13 +82,13 @@
 impl From<RequestError> for Reply {
     fn from(error: RequestError) -> Self {
         match error {
-            RequestError::Bad(why) => Reply::line(400, why),
-            RequestError::NotFound => Reply::line(404, "path not found"),
-            RequestError::Method(allow) => {
-                Reply { allow: Some(allow), ..Reply::line(405, &format!("method not allowed; use {allow}")) }
+            RequestError::Malformed(why) => Reply::text(400, why),
+            RequestError::NotFound => Reply::text(404, "path not found"),
+            RequestError::MethodNotAllowed(allow) => {
+                Reply { allow: Some(allow), ..Reply::text(405, &format!("method not allowed; use {allow}")) }
             }
-            RequestError::HeadTooLarge => Reply::line(431, "request head is too large"),
-            RequestError::BodyTooLarge => Reply::line(413, "request body is too large"),
+            RequestError::HeadTooLarge => Reply::text(431, "request head is too large"),
+            RequestError::BodyTooLarge => Reply::text(413, "request body is too large"),
         }
     }
 }
@@ -101,7 +102,7 @@
 }
 
 impl Path {
-    fn of(target: &str) -> Result<Self, RequestError> {
+    fn parse(target: &str) -> Result<Self, RequestError> {
         match target.split(['?', '#']).next().unwrap_or_default() {
             "/_ready" => Ok(Path::Ready),
             "/_vars" => Ok(Path::Vars),
@@ -122,7 +123,7 @@
 #[derive(Clone, Copy)]
 enum Body {
     Length(usize),
-    Chunks,
+    Chunked,
 }
 
 /// Incremental parser of one admin request.
@@ -137,39 +138,39 @@
     /// Feeds received bytes. Returns the request or the error once it is known; bytes after it are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<AdminRequest, RequestError>> {
         // Bounds the buffer against callers that never stop sending.
-        let room = (MAX_HEAD + MAX_BODY).saturating_sub(self.buffer.len());
+        let room = (MAX_HEAD_BYTES + MAX_BODY_BYTES).saturating_sub(self.buffer.len());
         self.buffer.extend_from_slice(bytes.get(..room.min(bytes.len())).unwrap_or_default());
-        self.step().transpose()
+        self.try_parse().transpose()
     }
 
-    fn step(&mut self) -> Result<Option<AdminRequest>, RequestError> {
-        let (path, body, at) = match self.head {
+    fn try_parse(&mut self) -> Result<Option<AdminRequest>, RequestError> {
+        let (path, body, body_start) = match self.head {
             Some(head) => head,
             None => match self.parse_head()? {
                 Some(head) => *self.head.insert(head),
                 None => return Ok(None),
             },
         };
-        let id = match path {
+        let backend = match path {
             Path::Ready => return Ok(Some(AdminRequest::Ready)),
             Path::Vars => return Ok(Some(AdminRequest::Vars)),
             Path::Detach | Path::Attach => {
-                let rest = self.buffer.get(at..).unwrap_or_default();
+                let rest = self.buffer.get(body_start..).unwrap_or_default();
                 let bytes = match body {
                     Body::Length(n) => rest.get(..n).map(<[u8]>::to_vec),
-                    Body::Chunks => unchunked(rest)?,
+                    Body::Chunked => decode_chunked(rest)?,
                 };
                 match bytes {
-                    Some(bytes) => name(&bytes)?,
-                    None if rest.len() > MAX_BODY => return Err(RequestError::BodyTooLarge),
+                    Some(bytes) => parse_backend_name(&bytes)?,
+                    None if rest.len() > MAX_BODY_BYTES => return Err(RequestError::BodyTooLarge),
                     None => return Ok(None),
                 }
             }
         };
         Ok(Some(if matches!(path, Path::Detach) {
-            AdminRequest::Detach(id)
+            AdminRequest::Detach(backend)
         } else {
-            AdminRequest::Attach(id)
+            AdminRequest::Attach(backend)
         }))
     }
 
@@ -177,14 +178,14 @@
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let at = match head.parse(&self.buffer) {
-            Ok(httparse::Status::Complete(at)) if at <= MAX_HEAD => at,
-            Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD => return Ok(None),
+            Ok(httparse::Status::Complete(at)) if at <= MAX_HEAD_BYTES => at,
+            Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(RequestError::HeadTooLarge),
-            Err(_) => return Err(RequestError::Bad("not HTTP/1.1")),
+            Err(_) => return Err(RequestError::Malformed("not HTTP/1.1")),
         };
-        let path = Path::of(head.path.unwrap_or_default())?;
+        let path = Path::parse(head.path.unwrap_or_default())?;
         if head.method != Some(path.method()) {
-            return Err(RequestError::Method(path.method()));
+            return Err(RequestError::MethodNotAllowed(path.method()));
         }
         let (mut length, mut chunked) = (None, false);
         for header in head.headers.iter() {
@@ -194,40 +195,40 @@
                 // A number that overflows exceeds the limit as well.
                 let n = value.parse().unwrap_or(usize::MAX);
                 if !digits || length.is_some_and(|l| l != n) {
-                    return Err(RequestError::Bad("Content-Length makes no sense"));
+                    return Err(RequestError::Malformed("Content-Length makes no sense"));
                 }
                 length = Some(n);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 if !value.eq_ignore_ascii_case("chunked") {
-                    return Err(RequestError::Bad("unsupported Transfer-Encoding"));
+                    return Err(RequestError::Malformed("unsupported Transfer-Encoding"));
                 }
                 chunked = true;
             }
         }
         match (length, chunked) {
-            (Some(_), true) => Err(RequestError::Bad("Content-Length makes no sense")),
-            (Some(n), _) if n > MAX_BODY => Err(RequestError::BodyTooLarge),
+            (Some(_), true) => Err(RequestError::Malformed("Content-Length makes no sense")),
+            (Some(n), _) if n > MAX_BODY_BYTES => Err(RequestError::BodyTooLarge),
             (length, false) => Ok(Some((path, Body::Length(length.unwrap_or(0)), at))),
-            (None, true) => Ok(Some((path, Body::Chunks, at))),
+            (None, true) => Ok(Some((path, Body::Chunked, at))),
         }
     }
 }
 
 /// Decodes a chunked body; `None` while it is incomplete.
-fn unchunked(mut rest: &[u8]) -> Result<Option<Vec<u8>>, RequestError> {
-    const BAD: RequestError = RequestError::Bad("malformed chunked body");
+fn decode_chunked(mut rest: &[u8]) -> Result<Option<Vec<u8>>, RequestError> {
+    const MALFORMED: RequestError = RequestError::Malformed("malformed chunked body");
     let mut body = Vec::new();
     loop {
         let (at, size) = match httparse::parse_chunk_size(rest) {
-            Ok(httparse::Status::Complete((at, size))) => (at, usize::try_from(size).map_err(|_| BAD)?),
+            Ok(httparse::Status::Complete((at, size))) => (at, usize::try_from(size).map_err(|_| MALFORMED)?),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(BAD),
+            Err(_) => return Err(MALFORMED),
         };
         if size == 0 {
             // Trailers are ignored.
             return Ok(Some(body));
         }
-        if size > MAX_BODY {
+        if size > MAX_BODY_BYTES {
             return Err(RequestError::BodyTooLarge);
         }
         rest = rest.get(at..).unwrap_or_default();
@@ -235,18 +236,18 @@
         body.extend_from_slice(piece);
         match rest.get(size..size + 2) {
             Some(b"\r\n") => rest = rest.get(size + 2..).unwrap_or_default(),
-            Some(_) => return Err(BAD),
+            Some(_) => return Err(MALFORMED),
             None => return Ok(None),
         }
     }
 }
 
 /// Parses a body that contains one backend name.
-fn name(body: &[u8]) -> Result<String, RequestError> {
-    const BAD: RequestError = RequestError::Bad("the body must be the name of one cache backend");
-    let text = std::str::from_utf8(body).map_err(|_| BAD)?.trim();
-    let plain = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c.is_control());
-    plain.then(|| text.to_owned()).ok_or(BAD)
+fn parse_backend_name(body: &[u8]) -> Result<String, RequestError> {
+    const MALFORMED: RequestError = RequestError::Malformed("the body must be the name of one cache backend");
+    let text = std::str::from_utf8(body).map_err(|_| MALFORMED)?.trim();
+    let is_valid = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c.is_control());
+    is_valid.then(|| text.to_owned()).ok_or(MALFORMED)
 }
 
 #[cfg(test)]
--- a/proxy/src/wire/admin/tests.rs
+++ b/proxy/src/wire/admin/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn read(bytes: &[u8], at: usize) -> Option<Result<AdminRequest, RequestError>> {
+fn parse_split(bytes: &[u8], at: usize) -> Option<Result<AdminRequest, RequestError>> {
     let mut reader = RequestReader::default();
     reader.feed(&bytes[..at]).or_else(|| reader.feed(&bytes[at..]))
 }
 
 #[test]
-fn calls_come_out_however_they_are_split() {
+fn parses_admin_requests_split_at_any_byte() {
     let id = || "s-5be2a07c".to_owned();
     let cases: &[(&str, AdminRequest)] = &[
         ("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n", AdminRequest::Ready),
@@ -18,18 +18,18 @@
             AdminRequest::Detach(id()),
         ),
     ];
-    for (text, call) in cases {
+    for (text, request) in cases {
         for at in 0..text.len() {
-            assert_eq!(read(text.as_bytes(), at), Some(Ok(call.clone())), "{text:?} split at {at}");
+            assert_eq!(parse_split(text.as_bytes(), at), Some(Ok(request.clone())), "{text:?} split at {at}");
         }
     }
 }
 
 #[test]
-fn what_is_no_call_is_told_why() {
+fn invalid_requests_get_the_matching_status_and_a_body_without_end_is_bounded() {
     let post = |rest: &str| format!("POST /_cache-nodes/detach HTTP/1.1\r\n{rest}");
-    let long = format!("GET /_ready HTTP/1.1\r\nX: {}", "y".repeat(MAX_HEAD));
-    let lines = format!("GET /_ready HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS + 1));
+    let oversized_head = format!("GET /_ready HTTP/1.1\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
+    let too_many_headers = format!("GET /_ready HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS + 1));
     let cases: &[(&str, u16)] = &[
         ("GET / HTTP/1.1\r\n\r\n", 404),
         ("GET /_ready/ HTTP/1.1\r\n\r\n", 404),
@@ -50,21 +50,21 @@
         (&post("Transfer-Encoding: gzip\r\n\r\n"), 400),
         ("*1\r\n$4\r\nPING\r\n", 400),
         ("\u{1}\u{2}\u{3}", 400),
-        (&long, 431),
-        (&lines, 431),
+        (&oversized_head, 431),
+        (&too_many_headers, 431),
     ];
     for (text, status) in cases {
-        let error = read(text.as_bytes(), 0).and_then(Result::err);
+        let error = parse_split(text.as_bytes(), 0).and_then(Result::err);
         let reply = error.map(Reply::from);
         assert_eq!(reply.as_ref().map(|r| r.status), Some(*status), "{text:.80?}");
-        let wrong = reply.is_some_and(|r| r.allow.is_some() != (r.status == 405));
-        assert!(!wrong, "{text:.80?}: Allow is for 405");
+        let mismatch = reply.is_some_and(|r| r.allow.is_some() != (r.status == 405));
+        assert!(!mismatch, "{text:.80?}: Allow must be set for 405 only");
     }
     // A chunked body without an end is rejected, and the buffer stays bounded.
     let mut reader = RequestReader::default();
     let chunks = post("Transfer-Encoding: chunked\r\n\r\n");
     assert_eq!(reader.feed(chunks.as_bytes()), None);
-    let told = (0..10_000).find_map(|_| reader.feed(b"1\r\na\r\n"));
-    assert_eq!(told, Some(Err(RequestError::BodyTooLarge)));
-    assert!(reader.buffer.len() <= MAX_HEAD + MAX_BODY);
+    let result = (0..10_000).find_map(|_| reader.feed(b"1\r\na\r\n"));
+    assert_eq!(result, Some(Err(RequestError::BodyTooLarge)));
+    assert!(reader.buffer.len() <= MAX_HEAD_BYTES + MAX_BODY_BYTES);
 }
--- a/proxy/src/wire/backend/tests.rs
+++ b/proxy/src/wire/backend/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn replies_are_told_apart_however_they_are_split() {
+fn classifies_replies_split_at_any_byte() {
     type Case = (&'static [u8], AttemptOutcome, Option<&'static [u8]>, bool);
     let cases: &[Case] = &[
         (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$6\r\nutil=1\r\n", AttemptOutcome::Served, Some(b"v"), true),
@@ -22,45 +22,49 @@
         (b"+OK\r\n", AttemptOutcome::Garbled, None, false),
         (b"*1\r\n*1\r\n$1\r\nv\r\n", AttemptOutcome::Garbled, None, false),
     ];
-    for &(bytes, ending, value, reusable) in cases {
+    for &(bytes, outcome, value, reusable) in cases {
         for at in 0..bytes.len() {
             let mut decoder = Decoder::default();
             assert_eq!(decoder.feed(&bytes[..at]), [], "{bytes:?} split at {at}");
             let value = value.map(<[u8]>::to_vec);
-            let expected = Reply { ending, value, reusable };
-            assert_eq!(decoder.feed(&bytes[at..]), [Piece::Over(expected)], "{bytes:?} split at {at}");
+            let expected = Reply { outcome, value, reusable };
+            assert_eq!(
+                decoder.feed(&bytes[at..]),
+                [ReplyPart::Complete(expected)],
+                "{bytes:?} split at {at}"
+            );
         }
     }
-    let over = |bytes: &[u8]| match Decoder::default().feed(bytes).pop() {
-        Some(Piece::Over(reply)) => Some((reply.ending, reply.reusable)),
+    let outcome_of = |bytes: &[u8]| match Decoder::default().feed(bytes).pop() {
+        Some(ReplyPart::Complete(reply)) => Some((reply.outcome, reply.reusable)),
         _ => None,
     };
-    assert_eq!(over(b"*3\r\n$3000000000\r\n"), Some((AttemptOutcome::Garbled, false)));
-    assert_eq!(over(b"HTTP"), Some((AttemptOutcome::Garbled, false)));
-    let behind = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n+late\r\n";
-    assert_eq!(over(behind), Some((AttemptOutcome::Served, false)));
+    assert_eq!(outcome_of(b"*3\r\n$3000000000\r\n"), Some((AttemptOutcome::Garbled, false)));
+    assert_eq!(outcome_of(b"HTTP"), Some((AttemptOutcome::Garbled, false)));
+    let with_surplus = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n+late\r\n";
+    assert_eq!(outcome_of(with_surplus), Some((AttemptOutcome::Served, false)));
 }
 
 /// Decodes a reply with a large value that is fed in parts ending at `ends`. Returns the streamed bytes, and the outcome
 /// and `reusable` if the reply is complete.
-fn passed(bytes: &[u8], ends: &[usize]) -> (Vec<u8>, Option<(AttemptOutcome, bool)>) {
-    let (mut decoder, mut data, mut over, mut at) = (Decoder::default(), Vec::new(), None, 0);
+fn decode_large_reply(bytes: &[u8], ends: &[usize]) -> (Vec<u8>, Option<(AttemptOutcome, bool)>) {
+    let (mut decoder, mut data, mut outcome, mut at) = (Decoder::default(), Vec::new(), None, 0);
     for &end in ends.iter().chain([&bytes.len()]) {
-        for piece in decoder.feed(&bytes[at..end]) {
-            match piece {
-                Piece::Begun(length) => assert_eq!(length, MAX_VALUE + 9),
-                Piece::Data(piece) => data.extend(piece),
-                Piece::Over(reply) => over = Some((reply.ending, reply.reusable)),
+        for part in decoder.feed(&bytes[at..end]) {
+            match part {
+                ReplyPart::ValueStart(length) => assert_eq!(length, MAX_VALUE + 9),
+                ReplyPart::ValueData(part) => data.extend(part),
+                ReplyPart::Complete(reply) => outcome = Some((reply.outcome, reply.reusable)),
             }
         }
         assert!(decoder.reader.pending() < 64, "a large value must not be buffered");
         at = end;
     }
-    (data, over)
+    (data, outcome)
 }
 
 #[test]
-fn a_large_value_is_passed_on_as_it_comes_and_is_over_only_if_all_makes_sense() {
+fn streams_a_large_value_and_completes_only_if_the_whole_reply_is_valid() {
     let value: Vec<u8> = (0..MAX_VALUE + 9).map(|n| n as u8).collect();
     let head = format!("*3\r\n${}\r\n", value.len()).into_bytes();
     let reply = |tail: &str| [&head, value.as_slice(), tail.as_bytes()].concat();
@@ -73,19 +77,19 @@
         ("\r\n:3\r\n$-1\r\n", Some((AttemptOutcome::Garbled, false))),
         ("\r\nnoise", Some((AttemptOutcome::Garbled, false))),
     ];
-    for (tail, over) in tails {
+    for (tail, outcome) in tails {
         let bytes = reply(tail);
-        assert_eq!(passed(&bytes, &[]), (value.clone(), over), "{tail:?}");
+        assert_eq!(decode_large_reply(&bytes, &[]), (value.clone(), outcome), "{tail:?}");
         if tail.ends_with("late\r\n") {
             continue; // A complete reply ends the decoding, so later bytes cannot be fed separately.
         }
         let body = head.len() + value.len();
         for at in (0..head.len() + 3).chain(body - 3..bytes.len()) {
             // A malformed reply may be detected before all of it is fed.
-            let (data, end) = passed(&bytes, &[at]);
-            assert!(data == value && end == over, "{tail:?} split at {at}: {end:?}");
+            let (data, end) = decode_large_reply(&bytes, &[at]);
+            assert!(data == value && end == outcome, "{tail:?} split at {at}: {end:?}");
         }
     }
-    let every: Vec<usize> = (1..reply(tails[0].0).len()).collect();
-    assert_eq!(passed(&reply(tails[0].0), &every), (value, tails[0].1), "byte by byte");
+    let every_byte: Vec<usize> = (1..reply(tails[0].0).len()).collect();
+    assert_eq!(decode_large_reply(&reply(tails[0].0), &every_byte), (value, tails[0].1), "byte by byte");
 }
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -101,11 +101,11 @@
 
 async fn carry_out(runtime: &Rc<Runtime>, call: AdminRequest) -> Reply {
     match call {
-        AdminRequest::Ready if runtime.ready() => Reply::line(200, "ready"),
-        AdminRequest::Ready => Reply::line(503, "not ready"),
+        AdminRequest::Ready if runtime.ready() => Reply::text(200, "ready"),
+        AdminRequest::Ready => Reply::text(503, "not ready"),
         AdminRequest::Vars => match serde_json::to_string(&runtime.proxy.borrow().metrics()) {
             Ok(body) => Reply { status: 200, body, allow: None },
-            Err(error) => Reply::line(500, &error.to_string()),
+            Err(error) => Reply::text(500, &error.to_string()),
         },
         AdminRequest::Detach(backend) => change(runtime, &backend, true).await,
         AdminRequest::Attach(backend) => change(runtime, &backend, false).await,
@@ -114,7 +114,7 @@
 
 fn not_kept(backend: &str, what: &str, why: &HotRestartError) -> Reply {
     log::error!("operators: {backend} {what}: cannot be kept for an upgrade, nothing is changed: {why}");
-    Reply::line(500, "cannot be kept for an upgrade, nothing is changed")
+    Reply::text(500, "cannot be kept for an upgrade, nothing is changed")
 }
 
 /// Takes a backend out or puts it back: kept for a successor first, then carried out here, then heeded by the other
@@ -123,7 +123,7 @@
     let (what, cold) = (if out { "out" } else { "back" }, runtime.network.warmup);
     if !runtime.proxy.borrow().endpoints.knows(backend) {
         log::warn!("operators: {backend:.256} {what}: no cache backend has this name");
-        return Reply::line(404, "no cache worker has this name");
+        return Reply::text(404, "no cache worker has this name");
     }
     let mut full = false;
     let until = Instant::now() + WRITING;
@@ -155,19 +155,19 @@
             Ok(Change::Busy) if Instant::now() < until => {
                 Timer::after(LOOK_AGAIN).await;
             }
-            Ok(Change::Busy) => return Reply::line(503, "another change is being made"),
+            Ok(Change::Busy) => return Reply::text(503, "another change is being made"),
             Err(why) => return not_kept(backend, what, &why),
         }
     }
     let serial = runtime.heed();
     if full {
         log::error!("operators: {backend} {what}: too many backends are out by hand");
-        return Reply::line(409, "too many workers are out by hand");
+        return Reply::text(409, "too many workers are out by hand");
     }
     log::info!(backend; "operators: {backend} {what} by hand");
     let until = Instant::now() + HEEDING;
     while runtime.others().iter().any(|other| other.heeded < serial) && Instant::now() < until {
         Timer::after(LOOK_AGAIN).await;
     }
-    Reply::line(200, what)
+    Reply::text(200, what)
 }
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -5,7 +5,7 @@
 use crate::negative_cache::KeyLookup;
 use crate::outcome::AttemptOutcome;
 use crate::proxy::{AttemptId, AttemptReply, ReplySlot};
-use crate::wire::backend::{self, Piece, Reply};
+use crate::wire::backend::{self, Reply, ReplyPart};
 use crate::wire::command::BackendCommand;
 use crate::wire::streamed_value::{NextChunk, StreamedValue};
 use crate::wire::{origin, MAX_VALUE};
@@ -52,17 +52,17 @@
 }
 
 impl Decoder {
-    fn feed(&mut self, bytes: &[u8]) -> Vec<Piece> {
+    fn feed(&mut self, bytes: &[u8]) -> Vec<ReplyPart> {
         match self {
             Decoder::Backend(decoder) => decoder.feed(bytes),
             Decoder::Origin(decoder) => decoder.feed(bytes),
         }
     }
 
-    fn begun(&self) -> bool {
+    fn has_partial_reply(&self) -> bool {
         match self {
-            Decoder::Backend(decoder) => decoder.begun(),
-            Decoder::Origin(decoder) => decoder.begun(),
+            Decoder::Backend(decoder) => decoder.has_partial_reply(),
+            Decoder::Origin(decoder) => decoder.has_partial_reply(),
         }
     }
 
@@ -71,7 +71,7 @@
             Decoder::Backend(_) => None,
             Decoder::Origin(decoder) => decoder.closed(),
         };
-        whole.unwrap_or(Reply::bare(AttemptOutcome::BrokenSent))
+        whole.unwrap_or(Reply::without_value(AttemptOutcome::BrokenSent))
     }
 }
 
@@ -137,9 +137,9 @@
     let given_up = give_up(&runtime, &attempt, begun, &progress);
     let reply = future::or(exchange(&runtime, &attempt, &progress, &mut trace), given_up).await;
     log::debug!(
-        attempt_id, server, ending = reply.ending.name();
+        attempt_id, server, ending = reply.outcome.name();
         "attempt {attempt_id} to {server}: {}, {} us, of these {} for a connection, {} to the first byte, new={}",
-        reply.ending.name(),
+        reply.outcome.name(),
         runtime.clock.now() - begun,
         trace.connected.saturating_sub(begun),
         trace.first.saturating_sub(trace.written),
@@ -150,7 +150,8 @@
     }
     if let Some(missing) = runtime.missing.as_ref().filter(|_| call.writes().is_some()) {
         // A receipt that is given was voided for before; any other write that went out whole may have run.
-        if progress.sent.get() && !matches!(reply.ending, AttemptOutcome::Served | AttemptOutcome::Rejected) {
+        if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
+        {
             missing.add_tombstone(&call.key);
         }
     }
@@ -162,7 +163,7 @@
     // cannot be told from the origin's time.
     let took = trace.took().filter(|_| call.streamed.is_none() && trace.first > 0);
     let brought = AttemptReply { value: reply.value, took, waited };
-    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.ending, brought));
+    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, brought));
 }
 
 /// Waits until an attempt is to be given up.
@@ -183,7 +184,7 @@
     if progress.relaying.get() {
         future::pending::<()>().await;
     }
-    Reply::bare(if progress.sent.get() {
+    Reply::without_value(if progress.sent.get() {
         AttemptOutcome::TimedOutSent
     } else {
         AttemptOutcome::TimedOutUnsent
@@ -207,12 +208,12 @@
         .filter(|w| w.serving)
         .map(|w| (w.process(), w.origin))
     else {
-        return Reply::bare(AttemptOutcome::NotSent);
+        return Reply::without_value(AttemptOutcome::NotSent);
     };
     let missing = runtime.missing.as_ref().filter(|_| is_origin);
     let looked = match missing.filter(|_| call.writes().is_none()) {
         Some(missing) => match missing.lookup(&call.key).await {
-            KeyLookup::KnownMissing => return Reply::bare(AttemptOutcome::Absent),
+            KeyLookup::KnownMissing => return Reply::without_value(AttemptOutcome::Absent),
             KeyLookup::AskOrigin(looked) => Some(looked),
         },
         None => None,
@@ -221,11 +222,11 @@
     let endpoint = process.0;
     let connection = match checkout(runtime, server, endpoint, &mut trace.new).await {
         Ok(connection) => connection,
-        Err(ending) => return Reply::bare(ending),
+        Err(ending) => return Reply::without_value(ending),
     };
     trace.connected = runtime.clock.now();
     if let Err(ending) = runtime.may_begin(attempt.id, (server, process), begin_by) {
-        return Reply::bare(ending);
+        return Reply::without_value(ending);
     }
     // A value that passes through has longer to come in, and its client waits no longer once it has.
     let wait = give_up_at.saturating_sub(trace.connected).min(call.wait);
@@ -244,7 +245,7 @@
         Some(_) => Err(AttemptOutcome::NotSent),
     };
     if let Err(ending) = written {
-        return Reply::bare(ending);
+        return Reply::without_value(ending);
     }
     runtime.proxy.borrow_mut().counters.attempts += 1;
     drop(bytes);
@@ -257,18 +258,18 @@
         let now = runtime.clock.now();
         runtime.pools.borrow_mut().put(now, server, generation, connection);
     }
-    match (missing, looked, reply.ending) {
+    match (missing, looked, reply.outcome) {
         (Some(missing), Some(looked), AttemptOutcome::Absent) => missing.insert(&call.key, looked),
         (Some(missing), None, AttemptOutcome::Served) => {
             // Before the receipt goes out, nobody may answer any more that the key is missing.
             let until = runtime.clock.instant(give_up_at);
             if !missing.invalidate(&call.key, until).await {
-                return Reply::bare(AttemptOutcome::Errored);
+                return Reply::without_value(AttemptOutcome::Errored);
             }
         }
         // Without the filter a null promises more than a failure: nobody keeps what the origin had.
         (None, _, AttemptOutcome::Absent) | (_, None, AttemptOutcome::Absent) => {
-            return Reply { ending: AttemptOutcome::Errored, ..reply }
+            return Reply { outcome: AttemptOutcome::Errored, ..reply }
         }
         _ => {}
     }
@@ -370,11 +371,11 @@
                 }
                 got += n;
                 if !progress.relaying.get() && !large.grown(got) {
-                    return Reply::bare(AttemptOutcome::NoCapacity);
+                    return Reply::without_value(AttemptOutcome::NoCapacity);
                 }
                 for piece in decoder.feed(buffer.get(..n).unwrap_or_default()) {
                     match piece {
-                        Piece::Begun(length) => {
+                        ReplyPart::ValueStart(length) => {
                             progress.relaying.set(true);
                             let took = trace.took();
                             client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, took));
@@ -384,12 +385,12 @@
                                     .with_session(place, |session| session.replies_mut().begin_relay(length));
                             }
                         }
-                        Piece::Data(data) => {
+                        ReplyPart::ValueData(data) => {
                             if let Some(place) = client {
                                 runtime.with_session(place, |session| session.replies_mut().relay(&data));
                             }
                         }
-                        Piece::Over(reply) => return reply,
+                        ReplyPart::Complete(reply) => return reply,
                     }
                 }
                 // No more is read than its client takes; one that has gone holds nothing up.
@@ -398,7 +399,7 @@
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 let stalled = async {
-                    match decoder.begun() {
+                    match decoder.has_partial_reply() {
                         _ if progress.relaying.get() => Timer::after(RELAY_STALL_TIMEOUT).await,
                         true => Timer::after(STALLED).await,
                         false => future::pending().await,
@@ -408,10 +409,10 @@
                 let readable =
                     async { connection.io.readable().await.err().map(|_| AttemptOutcome::BrokenSent) };
                 if let Some(ending) = future::or(readable, stalled).await {
-                    return Reply::bare(ending);
+                    return Reply::without_value(ending);
                 }
             }
-            Err(_) => return Reply::bare(AttemptOutcome::BrokenSent),
+            Err(_) => return Reply::without_value(AttemptOutcome::BrokenSent),
         }
     }
 }
--- a/proxy/src/wire/origin.rs
+++ b/proxy/src/wire/origin.rs
@@ -1,13 +1,13 @@
 //! The origin's side: one HTTP request out, one answer back.
 
-use super::backend::{Piece, Reply};
+use super::backend::{Reply, ReplyPart};
 use super::command::BackendCommand;
 use super::http::{self, Part};
 use super::{MAX_STREAMED_VALUE, MAX_UNDELIMITED_BODY, MAX_VALUE};
 use crate::outcome::AttemptOutcome;
 use notchdoor::Micros;
 
-/// `GET /KEY`, or `PUT /KEY` with the value (unless that passes through and follows in pieces), with the id and the list
+/// `GET /KEY`, or `PUT /KEY` with the value (unless that passes through and follows in reply_parts), with the id and the list
 /// of names and values, in which `d` is how long the proxy will wait.
 pub fn encode(call: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
     let method = if call.writes().is_some() { "PUT" } else { "GET" };
@@ -47,25 +47,25 @@
 
 impl Decoder {
     /// Whether a reply has begun to come.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_reply(&self) -> bool {
         self.status != 0 || self.http.begun()
     }
 
     /// Takes what has come in and gives what it completes.
-    pub fn feed(&mut self, bytes: &[u8]) -> Vec<Piece> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Vec<ReplyPart> {
         match self.http.feed(bytes) {
             Ok(parts) => {
-                let mut pieces = Vec::new();
-                for piece in parts.into_iter().filter_map(|part| self.part(part)) {
-                    let over = matches!(piece, Piece::Over(_));
-                    pieces.push(piece);
+                let mut reply_parts = Vec::new();
+                for reply_part in parts.into_iter().filter_map(|part| self.part(part)) {
+                    let over = matches!(reply_part, ReplyPart::Complete(_));
+                    reply_parts.push(reply_part);
                     if over {
                         break;
                     }
                 }
-                pieces
+                reply_parts
             }
-            Err(http::Malformed) => vec![Piece::Over(Reply::bare(AttemptOutcome::Garbled))],
+            Err(http::Malformed) => vec![ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled))],
         }
     }
 
@@ -73,13 +73,13 @@
     pub fn closed(&mut self) -> Option<Reply> {
         let part = self.http.closed()?;
         match self.part(part) {
-            Some(Piece::Over(reply)) => Some(reply),
+            Some(ReplyPart::Complete(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    fn part(&mut self, part: Part) -> Option<Piece> {
-        let garbled = || Some(Piece::Over(Reply::bare(AttemptOutcome::Garbled)));
+    fn part(&mut self, part: Part) -> Option<ReplyPart> {
+        let garbled = || Some(ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled)));
         match part {
             Part::Head { status, rejected, length } => {
                 (self.status, self.rejected) = (status, rejected);
@@ -88,12 +88,12 @@
                     Some(length) if length > MAX_STREAMED_VALUE as u64 => garbled(),
                     Some(length) if length > MAX_VALUE as u64 && status == 200 => {
                         self.large = true;
-                        Some(Piece::Begun(length as usize))
+                        Some(ReplyPart::ValueStart(length as usize))
                     }
                     _ => None,
                 }
             }
-            Part::Data(data) if self.large => Some(Piece::Data(data)),
+            Part::Data(data) if self.large => Some(ReplyPart::ValueData(data)),
             Part::Data(data) => {
                 // What an error has to say is read by nobody.
                 if self.status == 200 {
@@ -106,16 +106,16 @@
                 }
             }
             Part::End { reusable } => {
-                let ending = match self.status {
+                let outcome = match self.status {
                     200 => AttemptOutcome::Served,
                     404 => AttemptOutcome::Absent,
                     // Without the header it may have run, and a write would be repeated.
                     503 | 504 if self.rejected => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::Errored,
                 };
-                let whole = ending == AttemptOutcome::Served && !self.large;
+                let whole = outcome == AttemptOutcome::Served && !self.large;
                 let value = whole.then(|| std::mem::take(&mut self.body));
-                Some(Piece::Over(Reply { value, reusable, ..Reply::bare(ending) }))
+                Some(ReplyPart::Complete(Reply { value, reusable, ..Reply::without_value(outcome) }))
             }
         }
     }
--- a/proxy/src/wire/origin/tests.rs
+++ b/proxy/src/wire/origin/tests.rs
@@ -37,14 +37,18 @@
         (&large, AttemptOutcome::Garbled),
         (&whole, AttemptOutcome::Served),
     ];
-    for (text, ending) in cases {
-        let pieces = Decoder::default().feed(text.as_bytes());
-        let Some(Piece::Over(reply)) = pieces.last() else { panic!("{text:.60}: {} pieces", pieces.len()) };
-        assert_eq!(reply.ending, *ending, "{text:.60}");
+    for (text, outcome) in cases {
+        let parts = Decoder::default().feed(text.as_bytes());
+        let Some(ReplyPart::Complete(reply)) = parts.last() else {
+            panic!("{text:.60}: {} parts", parts.len())
+        };
+        assert_eq!(reply.outcome, *outcome, "{text:.60}");
         // A large body is passed on, and what is passed on is all of it.
-        let data =
-            pieces.iter().map(|p| if let Piece::Data(data) = p { data.len() } else { 0 }).sum::<usize>();
+        let data = parts
+            .iter()
+            .map(|p| if let ReplyPart::ValueData(data) = p { data.len() } else { 0 })
+            .sum::<usize>();
         assert_eq!(data, if text.contains("400000") { 400_000 } else { 0 }, "{text:.60}");
-        assert_eq!(reply.value.is_some(), *ending == AttemptOutcome::Served && data == 0, "{text:.60}");
+        assert_eq!(reply.value.is_some(), *outcome == AttemptOutcome::Served && data == 0, "{text:.60}");
     }
 }
