--- a/proxy/src/wire/admin.rs
+++ b/proxy/src/wire/admin.rs
@@ -195,7 +195,7 @@
                 // A number that overflows exceeds the limit as well.
                 let n = value.parse().unwrap_or(usize::MAX);
                 if !digits || length.is_some_and(|l| l != n) {
-                    return Err(RequestError::Malformed("Content-Length makes no sense"));
+                    return Err(RequestError::Malformed("invalid Content-Length"));
                 }
                 length = Some(n);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -206,7 +206,7 @@
             }
         }
         match (length, chunked) {
-            (Some(_), true) => Err(RequestError::Malformed("Content-Length makes no sense")),
+            (Some(_), true) => Err(RequestError::Malformed("invalid Content-Length")),
             (Some(n), _) if n > MAX_BODY_BYTES => Err(RequestError::BodyTooLarge),
             (length, false) => Ok(Some((path, Body::Length(length.unwrap_or(0)), at))),
             (None, true) => Ok(Some((path, Body::Chunked, at))),
--- a/proxy/src/wire/client_session.rs
+++ b/proxy/src/wire/client_session.rs
@@ -1,4 +1,4 @@
-//! The client's side of a connection: commands in, answers out in the order of the commands.
+//! Protocol state of one client connection: parses commands and queues the replies in command order.
 
 use super::command::{self, BackendCommand, ClientCommand};
 use super::resp::{write_bulk, Malformed, Reader, Value};
@@ -11,7 +11,7 @@
 
 mod reply_queue;
 
-/// What a client wants, by its place in the order of the connection's commands.
+/// A command for the caller to handle. Contains the command's position on the connection, starting at 0.
 #[derive(Debug, PartialEq)]
 pub enum SessionEvent {
     /// A request to be answered with [`ClientSession::answer`].
@@ -20,48 +20,48 @@
     Ping(u64),
 }
 
-/// A large value that is coming in.
+/// A large value that is being received.
 struct IncomingValue {
     place: u64,
     streamed: Rc<StreamedValue>,
-    /// Bytes of it that have not come.
+    /// Bytes still to receive.
     left: usize,
 }
 
-/// Bytes behind a bulk string.
+/// Length of the CR LF after a bulk string.
 const END_OF_BULK: usize = 2;
-/// Who is refused by a process that ends comes back to another one at once.
+/// Retry delay given to clients when this process stops; another process can serve them.
 const COME_AGAIN: Micros = 1_000;
-/// Words of the one command that has a value.
+/// Number of words of `OBJ.SET`, the only command with a value.
 const WRITE_WORDS: usize = 5;
 
-/// One client connection's protocol state.
+/// Protocol state of one client connection.
 #[derive(Default)]
 pub struct ClientSession {
     reader: Reader,
-    /// The large value that is coming in, if one is.
+    /// The large value that is being received, if any.
     incoming: Option<IncomingValue>,
     replies: ReplyQueue,
-    /// Nothing more is read: what is owed goes out, and then the connection is closed.
+    /// No more input is read; the connection closes once all replies are written.
     closing: bool,
-    /// Nothing is read beyond the command that has begun.
+    /// No input is read beyond the end of the command in progress.
     finishing: bool,
     malformed: bool,
     silent: bool,
-    /// Whole commands that have come.
+    /// Number of complete commands received.
     asked: u64,
 }
 
 impl ClientSession {
-    /// Takes what has come in.
+    /// Feeds received bytes. Ignored once the session is closing.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.closing {
             self.reader.feed(bytes);
         }
     }
 
-    /// The next whole command. What is none is answered here: a command in an unknown form with `-ERR`, and
-    /// bytes that are no command at all with `-ERR` and the end of this connection.
+    /// Returns the next complete command. Invalid commands are answered with `-ERR` here; after bytes that are not RESP,
+    /// the session closes as well.
     pub fn next_event(&mut self) -> Option<SessionEvent> {
         loop {
             if self.closing {
@@ -88,7 +88,7 @@
                 Err(malformed) => {
                     if let Some((words, length, at)) = self.reader.large_last(WRITE_WORDS, MAX_STREAMED_VALUE)
                     {
-                        // A half command holds no place: so much has to come before one is taken.
+                        // An incomplete command takes no reply slot until this many bytes have arrived.
                         if self.reader.pending() < at + MAX_VALUE {
                             return None;
                         }
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Takes up a command whose value passes through. One that is none is told so once all of it has been skipped.
+    /// Starts a command with a streamed value. An invalid one is answered with an error after its value was skipped.
     fn begin_incoming(&mut self, mut words: Vec<Value>, length: usize) -> Option<SessionEvent> {
         self.asked += 1;
         let place = self.replies.push();
-        // It is answered behind its last byte.
+        // The reply is held back until the whole value has been received.
         self.replies.hold(place);
         let streamed = Rc::new(StreamedValue::new(length));
         self.incoming = Some(IncomingValue { place, streamed: Rc::clone(&streamed), left: length });
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Passes on what has come of a large value. False while there is more to come of it.
+    /// Moves received bytes into the streamed value. Returns false until the value is complete.
     fn receive_streamed(&mut self) -> Result<bool, Malformed> {
         let Some(incoming) = &mut self.incoming else { return Ok(true) };
         let data = self.reader.take(incoming.left.min(incoming.streamed.room()));
@@ -152,17 +152,17 @@
         Ok(true)
     }
 
-    /// The large value that is coming in: whoever passes it on has to make room before more of it is read.
+    /// The large value that is being received. No more of it is read while [`StreamedValue::room`] is 0.
     pub fn incoming(&self) -> Option<Rc<StreamedValue>> {
         self.incoming.as_ref().map(|i| Rc::clone(&i.streamed))
     }
 
-    /// The place of the command whose value is coming in.
+    /// Position of the command whose value is being received.
     pub fn incoming_place(&self) -> Option<u64> {
         self.incoming.as_ref().map(|i| i.place)
     }
 
-    /// The rest of the value that is coming in will never come: its command is told so, and nothing more is read.
+    /// Aborts the value that is being received: answers its command with the error `text` and closes the session.
     pub fn abort_incoming(&mut self, text: &str) {
         if let Some(incoming) = self.incoming.take() {
             incoming.streamed.abort();
@@ -172,18 +172,18 @@
         }
     }
 
-    /// Answers `PING`.
+    /// Answers `PING` with `+PONG`, or with `-LOADING` if the proxy is not ready.
     pub fn pong(&mut self, place: u64, ready: bool) {
         let line: &[u8] = if ready { b"+PONG\r\n" } else { b"-LOADING not ready\r\n" };
         self.put(place, line.to_vec());
     }
 
-    /// Answers a request that is not taken.
+    /// Answers a command with the error `text`.
     pub fn reject(&mut self, place: u64, text: &str) {
         self.put(place, format!("-ERR {text}\r\n").into_bytes());
     }
 
-    /// Gives the final answer to a request.
+    /// Queues the final answer to a request.
     pub fn answer(&mut self, place: u64, answer: Answer) {
         let mut bytes = Vec::new();
         match answer {
@@ -192,7 +192,7 @@
                 write_bulk(&mut bytes, &value);
             }
             Answer::Refused { retry_after: 0 } => bytes.extend_from_slice(b"-BUSY\r\n"),
-            // Rounded up: to come back a little late is harmless.
+            // Whole milliseconds, rounded up.
             Answer::Refused { retry_after } => {
                 bytes.extend_from_slice(format!("-BUSY {}\r\n", retry_after.div_ceil(1000)).as_bytes());
             }
@@ -203,36 +203,37 @@
                 self.replies.cut_relay();
                 return self.close();
             }
-            // Nothing of it has gone out yet.
+            // No part of the value has been sent, so an error can still be returned.
             Answer::Cut => bytes.extend_from_slice(b"-ERR failed\r\n"),
         }
         self.put(place, bytes);
     }
 
     fn put(&mut self, place: u64, bytes: Vec<u8>) {
-        // What is answered already wants no more of its value.
+        // The rest of the value is not needed once the command is answered.
         if let Some(incoming) = self.incoming.as_ref().filter(|i| i.place == place) {
             incoming.streamed.skip();
         }
         self.replies.put(place, bytes);
     }
 
-    /// The replies.
+    /// The queued replies.
     pub fn replies(&self) -> &ReplyQueue {
         &self.replies
     }
 
-    /// The replies, to relay one or to write them.
+    /// The queued replies, to relay a value or to mark output as written.
     pub fn replies_mut(&mut self) -> &mut ReplyQueue {
         &mut self.replies
     }
 
-    /// Bytes that were read and are in no command yet.
+    /// Number of received bytes that are not yet part of a parsed command.
     pub fn unparsed_bytes(&self) -> usize {
         self.reader.pending()
     }
 
-    /// Ends a connection whose client took too long over a command: with an error if some of it has come.
+    /// Closes the session because the client did not complete a command in time. Replies with an error if part of a
+    /// command was received.
     pub fn expire(&mut self) {
         if self.incoming.is_some() {
             self.abort_incoming("the command took too long");
@@ -243,31 +244,30 @@
         self.silent = true;
     }
 
-    /// Ends a connection whose half-read command takes room that others need.
+    /// Closes the session to free the memory of its incomplete command.
     pub fn evict_half_read(&mut self) {
         self.end_with("too many half-sent commands");
         self.malformed = true;
     }
 
-    /// Tells an error in the place of what would have come next, and reads nothing more.
+    /// Queues an error as the next reply and closes the session.
     fn end_with(&mut self, text: &str) {
         let place = self.replies.push();
         self.reject(place, text);
         self.close();
     }
 
-    /// Whether the client took too long over a command.
+    /// Whether the session was closed by [`ClientSession::expire`].
     pub fn silent(&self) -> bool {
         self.silent
     }
 
-    /// How many whole commands have come.
+    /// Number of complete commands received.
     pub fn commands_received(&self) -> u64 {
         self.asked
     }
 
-    /// Takes no command beyond those that have come and the one that has begun: where all have come whole, nothing more
-    /// is read, and else no byte beyond the end of that one.
+    /// Accepts no further commands. A command that was received in part is still completed, but no byte after it is read.
     pub fn finish(&mut self) {
         self.finishing = true;
         self.close_if_between();
@@ -279,8 +279,8 @@
         }
     }
 
-    /// So many bytes may be read at once: what lies behind the last command that is taken stays in the socket, where
-    /// nobody has read it.
+    /// Maximum number of bytes to read from the socket next. After [`ClientSession::finish`], bytes behind the last accepted
+    /// command stay in the socket.
     pub fn may_read(&self) -> usize {
         if !self.finishing {
             return usize::MAX;
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Answers all that was read and reads nothing more: the process has no more time. An answer that is being relayed
-    /// goes on. How many commands were refused that way.
+    /// Rejects all pending commands and closes the session, for the end of the process. A reply that is being relayed
+    /// continues. Returns the number of rejected commands.
     pub fn refuse_rest(&mut self) -> usize {
         while self.next_event().is_some() {}
         let mut places = self.replies.pending_places();
@@ -308,7 +308,7 @@
         places.len()
     }
 
-    /// Reads nothing more; see [`ClientSession::finished`].
+    /// Stops reading and discards unparsed input; queued replies are still written.
     pub fn close(&mut self) {
         if let Some(incoming) = &self.incoming {
             incoming.streamed.abort();
@@ -317,17 +317,17 @@
         self.reader = Reader::default();
     }
 
-    /// Whether all that was taken is answered and nothing more will be read.
+    /// Whether the session is closing and all replies are written, or a reply was cut off and its output is written.
     pub fn finished(&self) -> bool {
         self.closing && (!self.replies.busy() || self.replies.was_cut() && self.replies.output().is_empty())
     }
 
-    /// Whether anything may still be read.
+    /// Whether input is still read.
     pub fn reads(&self) -> bool {
         !self.closing
     }
 
-    /// Whether the client sent what is no command.
+    /// Whether the session was closed because of malformed input, or of too much incomplete input.
     pub fn malformed(&self) -> bool {
         self.malformed
     }
--- a/proxy/src/wire/client_session/reply_queue.rs
+++ b/proxy/src/wire/client_session/reply_queue.rs
@@ -1,44 +1,44 @@
-//! The replies of one client connection, in the order of its commands, and the bytes of them that go out.
+//! Queue of the replies of one client connection. Replies are written in command order.
 
 use std::collections::VecDeque;
 
-/// Replies by the place of their command in the order of the connection's commands.
+/// Replies, addressed by the position of their command on the connection.
 #[derive(Default)]
 pub struct ReplyQueue {
-    /// Those that have not gone out, oldest first; `None` while one is not there.
+    /// Replies not yet moved to the output, oldest first; `None` until the reply is known.
     slots: VecDeque<Option<Vec<u8>>>,
-    /// The place of the oldest of them.
+    /// Position of the first slot.
     first: u64,
-    /// The reply at this place waits, whatever it is: a command is answered behind its last byte.
+    /// Position of a reply that is held back because its command is still being received.
     held: Option<u64>,
     out: Vec<u8>,
-    /// Bytes of `out` that were written.
+    /// Bytes of `out` already written.
     written: usize,
-    /// The oldest reply is being relayed as it comes.
+    /// The oldest reply is being relayed while it is received.
     relaying: bool,
-    /// It could not be relayed to its end: what has come of it goes out, and nothing behind it.
+    /// The relayed reply was cut off; no bytes are added to the output any more.
     cut: bool,
 }
 
 impl ReplyQueue {
-    /// Another command is owed a reply: its place.
+    /// Adds a slot for the next command's reply and returns its position.
     pub fn push(&mut self) -> u64 {
         self.slots.push_back(None);
         self.first + self.slots.len() as u64 - 1
     }
 
-    /// Holds the reply at this place back.
+    /// Holds back the reply at `place`, and those behind it, until [`ReplyQueue::release`].
     pub fn hold(&mut self, place: u64) {
         self.held = Some(place);
     }
 
-    /// Holds no reply back any more.
+    /// Ends the hold of [`ReplyQueue::hold`].
     pub fn release(&mut self) {
         self.held = None;
         self.advance();
     }
 
-    /// Gives the reply to the command at this place, unless it has one.
+    /// Sets the reply at `place`. Ignored if that reply is already set.
     pub fn put(&mut self, place: u64, bytes: Vec<u8>) {
         let slot = place.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize));
         if let Some(slot @ None) = slot {
@@ -47,31 +47,31 @@
         self.advance();
     }
 
-    /// Whether the reply at this place is still to come.
+    /// Whether the reply at `place` is not set yet.
     pub fn awaits(&self, place: u64) -> bool {
         let slot = place.checked_sub(self.first).and_then(|i| self.slots.get(i as usize));
         matches!(slot, Some(None))
     }
 
-    /// Whether the reply at this place is the next one to go out.
+    /// Whether the reply at `place` is not set yet and all earlier ones are in the output.
     pub fn is_next(&self, place: u64) -> bool {
         place == self.first && matches!(self.slots.front(), Some(None))
     }
 
-    /// Begins to relay the reply that is next: a value of so many bytes.
+    /// Starts to relay the next reply, a value of `length` bytes.
     pub fn begin_relay(&mut self, length: usize) {
         self.relaying = true;
         self.append(format!("${length}\r\n").as_bytes());
     }
 
-    /// Relays some of its bytes.
+    /// Appends bytes of the relayed value. Ignored after [`ReplyQueue::cut_relay`].
     pub fn relay(&mut self, bytes: &[u8]) {
         if self.relaying && !self.cut {
             self.append(bytes);
         }
     }
 
-    /// The reply at this place has been relayed to its end.
+    /// Completes the relayed reply at `place`.
     pub fn end_relay(&mut self, place: u64) {
         if self.is_relaying(place) {
             self.relaying = false;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The reply that is being relayed ends in the middle.
+    /// Cuts off the reply that is being relayed.
     pub fn cut_relay(&mut self) {
         self.cut = true;
     }
@@ -92,23 +92,23 @@
         self.relaying && place == self.first
     }
 
-    /// Whether a reply is being relayed: no further command is taken meanwhile.
+    /// Whether a reply is being relayed. No further command is accepted meanwhile.
     pub fn relaying(&self) -> bool {
         self.relaying
     }
 
-    /// Whether a reply was cut.
+    /// Whether a relayed reply was cut off.
     pub fn was_cut(&self) -> bool {
         self.cut
     }
 
     fn append(&mut self, bytes: &[u8]) {
-        // What is written makes room before more is kept.
+        // Frees written bytes first.
         self.out.drain(..std::mem::take(&mut self.written));
         self.out.extend_from_slice(bytes);
     }
 
-    /// Has those replies written that no other is owed before.
+    /// Moves replies to the output, up to the first one that is missing or held back.
     fn advance(&mut self) {
         while let Some(Some(bytes)) = self.slots.front_mut() {
             if self.held == Some(self.first) {
@@ -124,12 +124,12 @@
         }
     }
 
-    /// What is to be written.
+    /// Bytes to write to the client.
     pub fn output(&self) -> &[u8] {
         self.out.get(self.written..).unwrap_or_default()
     }
 
-    /// So many bytes of the output were written.
+    /// Removes the first `n` bytes of the output, which were written.
     pub fn wrote(&mut self, n: usize) {
         self.written = (self.written + n).min(self.out.len());
         if self.written == self.out.len() {
@@ -137,22 +137,22 @@
         }
     }
 
-    /// Whether a reply is owed or not written yet.
+    /// Whether a reply is missing or not yet written.
     pub fn busy(&self) -> bool {
         !self.slots.is_empty() || !self.output().is_empty()
     }
 
-    /// Bytes of replies that are there and not written.
+    /// Bytes of known replies that are not yet written.
     pub fn unsent_bytes(&self) -> usize {
         self.output().len() + self.slots.iter().flatten().map(Vec::len).sum::<usize>()
     }
 
-    /// How many replies have not gone out.
+    /// Number of replies not yet moved to the output.
     pub fn pending(&self) -> usize {
         self.slots.len()
     }
 
-    /// The places of the replies that have not come yet.
+    /// Positions of the replies that are not set yet.
     pub fn pending_places(&self) -> Vec<u64> {
         let open = self.slots.iter().enumerate().filter(|(_, reply)| reply.is_none());
         open.map(|(i, _)| self.first + i as u64).collect()
--- a/proxy/src/wire/client_session/tests.rs
+++ b/proxy/src/wire/client_session/tests.rs
@@ -19,7 +19,7 @@
         assert_eq!(asks(&mut session, &bytes[..at]) + asks(&mut session, &bytes[at..]), 3);
         session.pong(2, true);
         session.answer(1, Answer::Refused { retry_after: 1_001 });
-        assert_eq!(session.replies().output(), b"", "the first is still owed");
+        assert_eq!(session.replies().output(), b"", "the first reply is still missing");
         assert_eq!(session.replies().unsent_bytes(), b"-BUSY 2\r\n+PONG\r\n".len());
         session.answer(0, Answer::Served(b"v".to_vec()));
         session.answer(0, Answer::Failed);
@@ -58,7 +58,7 @@
         assert_eq!(calls, 2, "split at {at}");
         assert!(got == value && session.unparsed_bytes() == 0, "split at {at}");
     }
-    // Answered early: nothing goes out before its last byte, and the rest is skipped.
+    // An early answer is held back until the last byte of the value, and the rest of the value is skipped.
     let mut session = ClientSession::default();
     assert_eq!(asks(&mut session, &bytes[..body + MAX_VALUE]), 1);
     session.answer(0, Answer::Refused { retry_after: 7_000 });
@@ -66,7 +66,7 @@
     assert!(session.replies().output().is_empty() && session.unparsed_bytes() == 0);
     assert_eq!(asks(&mut session, &bytes[body + MAX_VALUE + 3..]), 1);
     assert_eq!(session.replies().output(), b"-BUSY 7\r\n");
-    // Wrong ends and words, values that are too large, and clients that do not go on.
+    // Value not followed by CR LF, value not completed in time, value above the limit.
     let wrong = [&bytes[..body + value.len()], b"xx"].concat();
     let mut session = ClientSession::default();
     assert_eq!(asks(&mut session, &wrong), 1);
@@ -104,7 +104,7 @@
         session
     };
     let mut whole = begin();
-    // The one behind it waits, whatever becomes of it.
+    // The reply behind the relayed one waits for it.
     whole.answer(1, Answer::Failed);
     whole.replies_mut().relay(b"e");
     assert_eq!((whole.replies().output(), whole.replies().relaying()), (b"abcde".as_slice(), true));
@@ -116,10 +116,14 @@
     let mut cut = begin();
     cut.answer(0, Answer::Cut);
     cut.replies_mut().relay(b"e");
-    assert_eq!((cut.replies().output(), cut.finished()), (b"abcd".as_slice(), false), "what came goes out");
+    assert_eq!(
+        (cut.replies().output(), cut.finished()),
+        (b"abcd".as_slice(), false),
+        "bytes received before the cut are written"
+    );
     cut.replies_mut().wrote(4);
     assert!(cut.finished() && cut.replies().was_cut() && cut.replies().pending_places() == [0, 1]);
-    // One that has not begun is told as any other.
+    // A reply that has not started is answered with an error instead.
     let mut early = ClientSession::default();
     let mut bytes = Vec::new();
     write_command(&mut bytes, GET);
--- a/proxy/src/wire/command.rs
+++ b/proxy/src/wire/command.rs
@@ -1,77 +1,77 @@
-//! A client's command, taken apart: what the proxy decides on, and what is passed on as it came.
+//! Parses client commands into the fields that the proxy uses and the ones that it forwards unchanged.
 
 use super::resp::Value;
 use super::streamed_value::StreamedValue;
 use notchdoor::Micros;
 use std::rc::Rc;
 
-/// The longest deadline that a client may name; backends turn away what is far beyond it.
+/// Maximum deadline of a request.
 const MAX_DEADLINE_MS: f64 = 3_600_000.0;
-/// The longest key, id or list of names and values.
+/// Maximum length in bytes of a key, a request id or the list of names and values.
 const MAX_WORD: usize = 4096;
 
-/// A request as the client sent it.
+/// A parsed `OBJ.GET` or `OBJ.SET`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendCommand {
-    /// The command's name, as it was written.
+    /// Command name, spelled as the client sent it.
     pub command: Vec<u8>,
-    /// The key.
+    /// Key of the object.
     pub key: Vec<u8>,
-    /// The request's id.
+    /// Request id.
     pub id: Vec<u8>,
-    /// The list of names and values.
+    /// Comma-separated list of `name=value` pairs.
     pub info: Vec<u8>,
-    /// Where in `info` the number of `d` stands.
+    /// Start and end of the value of `d` in `info`.
     deadline_at: (usize, usize),
-    /// The value of a write; `None` for a read, and for a value that passes through.
+    /// Value of a write; `None` for a read and for a streamed value.
     pub value: Option<Vec<u8>>,
-    /// The value of a write that passes through.
+    /// Streamed value of a write; `None` for a read and for a buffered value.
     pub streamed: Option<Rc<StreamedValue>>,
-    /// The class, by its name.
+    /// Class name; empty if the client gave none.
     pub class: String,
-    /// The tenant, by its name.
+    /// Tenant name; empty if the client gave none.
     pub tenant: String,
-    /// How long the client waits.
+    /// How long the client waits for the answer, from `d`.
     pub wait: Micros,
 }
 
-/// What a client may send.
+/// A command from a client.
 #[derive(Debug, PartialEq)]
 pub enum ClientCommand {
-    /// A request.
+    /// `OBJ.GET` or `OBJ.SET`.
     Object(Box<BackendCommand>),
-    /// Whether the proxy is ready.
+    /// `PING`.
     Ping,
 }
 
-/// Why something is no command; its text is for the client.
+/// Why a command is invalid. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It is no array of strings.
+    /// Not an array of strings.
     #[error("a command is an array of strings")]
     NotStrings,
-    /// It has no words.
+    /// The array is empty.
     #[error("empty command")]
     Empty,
-    /// There is no command of this name.
+    /// Unknown command name.
     #[error("unknown command")]
     Unknown,
-    /// It has too few words or too many.
+    /// Too few or too many arguments.
     #[error("wrong number of arguments")]
     ArgumentCount,
-    /// A word could not stand in a header or a path.
+    /// An argument cannot be used in an HTTP header or path.
     #[error("key, id and list must be plain words")]
     NotPlain,
-    /// The list holds something else than names and values.
+    /// The list contains an element without `=`.
     #[error("the list must hold names and values")]
     BadList,
     /// The list has no `d`.
     #[error("d is missing")]
     NoDeadline,
-    /// `d` is no number of milliseconds.
+    /// `d` is not a positive decimal number of milliseconds.
     #[error("d is not a number")]
     BadDeadline,
-    /// `d` is longer than any client waits.
+    /// `d` exceeds the maximum deadline.
     #[error("d is too long")]
     DeadlineTooLong,
 }
@@ -83,12 +83,12 @@
     }
 }
 
-/// Whether a word can stand in a header or a path: a line break would start a header of its own at the origin.
+/// Whether a word can be used in an HTTP header or path. Control characters would allow header injection at the origin.
 fn plain(word: &[u8]) -> bool {
     (1..=MAX_WORD).contains(&word.len()) && word.iter().all(|&b| b > b' ' && b != 0x7f)
 }
 
-/// Takes a command apart.
+/// Parses and validates a command.
 pub fn parse(value: Value) -> Result<ClientCommand, CommandError> {
     let Value::Array(Some(items)) = value else { return Err(CommandError::NotStrings) };
     let words: Option<Vec<Vec<u8>>> = items.into_iter().map(word).collect();
@@ -126,7 +126,7 @@
         at += pair.len() + 1;
     }
     let (start, number) = deadline.ok_or(CommandError::NoDeadline)?;
-    // Digits, with a fraction at the most: what else Rust takes for a number (inf, 1e9, +5) is a mistake.
+    // Only digits and a decimal point; rejects other forms that `f64` accepts (inf, 1e9, +5).
     let digits = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let wait = number.parse::<f64>().ok().filter(|d| digits && *d > 0.0).ok_or(CommandError::BadDeadline)?;
     if wait > MAX_DEADLINE_MS {
@@ -151,7 +151,7 @@
 }
 
 impl BackendCommand {
-    /// The list of names and values with another `d`, in whole milliseconds.
+    /// Returns `info` with `d` replaced by `wait`, in whole milliseconds and at least 1.
     pub fn info_with_deadline(&self, wait: Micros) -> Vec<u8> {
         let (start, end) = self.deadline_at;
         let number = (wait / 1000).max(1).to_string();
@@ -159,12 +159,12 @@
         [before.unwrap_or_default(), number.as_bytes(), after.unwrap_or_default()].concat()
     }
 
-    /// How long the value of a write is; `None` for a read.
+    /// Length in bytes of a write's value; `None` for a read.
     pub fn writes(&self) -> Option<usize> {
         self.streamed.as_ref().map(|u| u.length).or(self.value.as_ref().map(Vec::len))
     }
 
-    /// Bytes that are kept for it.
+    /// Size in bytes of the buffered arguments.
     pub fn size(&self) -> usize {
         self.key.len() + self.id.len() + self.info.len() + self.value.as_ref().map_or(0, Vec::len)
     }
--- a/proxy/src/wire/discovery.rs
+++ b/proxy/src/wire/discovery.rs
@@ -1,44 +1,44 @@
-//! discovery's side: the watch's request, and its lines.
+//! Encodes the watch request to discovery and decodes the endpoint updates of its response.
 
 use super::http::{self, Part};
 use crate::state::endpoints::Update;
 
-/// The longest line of a watch: a whole list of some thousand backends.
+/// Maximum length in bytes of one line, which may contain a full endpoint list.
 const MAX_LINE: usize = 1024 * 1024;
 
-/// The watch on all that changes after `rev`.
+/// Encodes the request for a watch on all changes after version `rev`.
 pub fn encode(host: &str, rev: u64) -> Vec<u8> {
     format!("GET /discovery/hosts?watch=1&from={rev} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
         .into_bytes()
 }
 
-/// Reads a watch's lines.
+/// Incremental decoder of a watch response.
 #[derive(Default)]
 pub struct Decoder {
     http: http::Decoder,
     line: Vec<u8>,
-    /// Whole lines that have come, empty ones included.
+    /// Number of complete lines received, empty ones included.
     lines: u64,
 }
 
-/// The watch has ended, or what comes is no watch; the text says why.
+/// The watch ended or its response is invalid. Contains the reason.
 #[derive(Debug, PartialEq)]
 pub struct Ended(pub String);
 
 impl Decoder {
-    /// Takes what has come in and gives the updates that it completes. Empty lines are beats.
+    /// Feeds received bytes and returns the updates that they complete. Empty lines are heartbeats.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Update>, Ended> {
-        let parts = self.http.feed(bytes).map_err(|http::Malformed| Ended("not HTTP".into()))?;
+        let parts = self.http.feed(bytes).map_err(|http::Malformed| Ended("response is not HTTP".into()))?;
         let mut updates = Vec::new();
         for part in parts {
             match part {
                 Part::Head { status: 200, .. } => {}
-                Part::Head { status, .. } => return Err(Ended(format!("status {status}"))),
+                Part::Head { status, .. } => return Err(Ended(format!("HTTP status {status}"))),
                 Part::Data(data) => {
                     for piece in data.split_inclusive(|&b| b == b'\n') {
                         self.line.extend_from_slice(piece);
                         if self.line.len() > MAX_LINE {
-                            return Err(Ended("line too long".into()));
+                            return Err(Ended("line exceeds the size limit".into()));
                         }
                         if piece.ends_with(b"\n") {
                             self.lines += 1;
@@ -49,7 +49,7 @@
                 Part::End { .. } => {
                     updates.extend(self.update()?);
                     if updates.is_empty() {
-                        return Err(Ended("ended".into()));
+                        return Err(Ended("response ended".into()));
                     }
                 }
             }
@@ -57,7 +57,7 @@
         Ok(updates)
     }
 
-    /// How many whole lines the watch has said, beats included.
+    /// Number of complete lines received, heartbeats included.
     pub fn lines(&self) -> u64 {
         self.lines
     }
@@ -67,7 +67,7 @@
         if line.trim_ascii().is_empty() {
             return Ok(None);
         }
-        serde_json::from_slice(&line).map(Some).map_err(|e| Ended(format!("bad line: {e}")))
+        serde_json::from_slice(&line).map(Some).map_err(|e| Ended(format!("invalid endpoint update: {e}")))
     }
 }
 
--- a/proxy/src/wire/discovery/tests.rs
+++ b/proxy/src/wire/discovery/tests.rs
@@ -21,11 +21,14 @@
 fn what_is_no_watch_ends_it() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let cases = [
-        ("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".to_owned(), "status 503"),
-        (format!("{head}0\r\n\r\n"), "ended"),
-        (format!("{head}5\r\n{{\"r\"\n\r\n"), "bad line"),
-        (format!("{head}{:x}\r\n{}\r\n", MAX_LINE + 1, "x".repeat(MAX_LINE + 1)), "line too long"),
-        ("nonsense\r\n".to_owned(), "not HTTP"),
+        ("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".to_owned(), "HTTP status 503"),
+        (format!("{head}0\r\n\r\n"), "response ended"),
+        (format!("{head}5\r\n{{\"r\"\n\r\n"), "invalid endpoint update"),
+        (
+            format!("{head}{:x}\r\n{}\r\n", MAX_LINE + 1, "x".repeat(MAX_LINE + 1)),
+            "line exceeds the size limit",
+        ),
+        ("nonsense\r\n".to_owned(), "response is not HTTP"),
     ];
     for (text, why) in cases {
         let ended = Decoder::default().feed(text.as_bytes()).err();
