--- a/proxy/src/wire/backend.rs
+++ b/proxy/src/wire/backend.rs
@@ -39,7 +39,7 @@
 /// afterwards, followed by CR LF.
 pub fn encode(command: &BackendCommand, wait: Micros) -> Vec<u8> {
     let info = command.info_with_deadline(wait);
-    let mut out = Vec::with_capacity(command.size() + 128);
+    let mut out = Vec::with_capacity(command.buffered_bytes() + 128);
     let mut args: Vec<&[u8]> = vec![&command.command, &command.key, &command.id, &info];
     args.extend(command.value.as_deref());
     match &command.streamed {
--- a/proxy/src/wire/client_session.rs
+++ b/proxy/src/wire/client_session.rs
@@ -11,7 +11,7 @@
 
 mod reply_queue;
 
-/// A command for the caller to handle. Contains the command's position on the connection, starting at 0.
+/// A command for the caller to handle. Contains the command's sequence number on the connection, starting at 0.
 #[derive(Debug, PartialEq)]
 pub enum SessionEvent {
     /// A request to be answered with [`ClientSession::answer`].
@@ -22,18 +22,18 @@
 
 /// A large value that is being received.
 struct IncomingValue {
-    place: u64,
+    sequence: u64,
     streamed: Rc<StreamedValue>,
     /// Bytes still to receive.
-    left: usize,
+    remaining: usize,
 }
 
 /// Length of the CR LF after a bulk string.
-const END_OF_BULK: usize = 2;
+const BULK_TERMINATOR_BYTES: usize = 2;
 /// Retry delay given to clients when this process stops; another process can serve them.
-const COME_AGAIN: Micros = 1_000;
+const STOPPING_RETRY_AFTER_US: Micros = 1_000;
 /// Number of words of `OBJ.SET`, the only command with a value.
-const WRITE_WORDS: usize = 5;
+const SET_COMMAND_WORDS: usize = 5;
 
 /// Protocol state of one client connection.
 #[derive(Default)]
@@ -47,9 +47,9 @@
     /// No input is read beyond the end of the command in progress.
     finishing: bool,
     malformed: bool,
-    silent: bool,
+    timed_out: bool,
     /// Number of complete commands received.
-    asked: u64,
+    commands_received: u64,
 }
 
 impl ClientSession {
@@ -78,60 +78,61 @@
             }
             let value = match self.reader.next_value() {
                 Ok(Some(value)) => {
-                    self.asked += 1;
+                    self.commands_received += 1;
                     value
                 }
                 Ok(None) => {
-                    self.close_if_between();
+                    self.close_if_no_partial_command();
                     return None;
                 }
                 Err(malformed) => {
-                    if let Some((words, length, at)) = self.reader.large_last(WRITE_WORDS, MAX_STREAMED_VALUE)
+                    if let Some((words, length, at)) =
+                        self.reader.large_last(SET_COMMAND_WORDS, MAX_STREAMED_VALUE)
                     {
                         // An incomplete command takes no reply slot until this many bytes have arrived.
                         if self.reader.pending() < at + MAX_VALUE {
                             return None;
                         }
                         self.reader.skip(at);
-                        if let Some(event) = self.begin_incoming(words, length) {
+                        if let Some(event) = self.start_streamed_command(words, length) {
                             return Some(event);
                         }
                         continue;
                     }
-                    self.end_with(&format!("Protocol error: {}", malformed.0));
+                    self.reject_and_close(&format!("Protocol error: {}", malformed.0));
                     self.malformed = true;
                     return None;
                 }
             };
-            let place = self.replies.push();
+            let sequence = self.replies.push();
             match command::parse(value) {
-                Ok(ClientCommand::Object(call)) => return Some(SessionEvent::Command(place, call)),
-                Ok(ClientCommand::Ping) => return Some(SessionEvent::Ping(place)),
-                Err(error) => self.reject(place, &error.to_string()),
+                Ok(ClientCommand::Request(command)) => return Some(SessionEvent::Command(sequence, command)),
+                Ok(ClientCommand::Ping) => return Some(SessionEvent::Ping(sequence)),
+                Err(error) => self.reject(sequence, &error.to_string()),
             }
         }
     }
 
     /// Starts a command with a streamed value. An invalid one is answered with an error after its value was skipped.
-    fn begin_incoming(&mut self, mut words: Vec<Value>, length: usize) -> Option<SessionEvent> {
-        self.asked += 1;
-        let place = self.replies.push();
+    fn start_streamed_command(&mut self, mut words: Vec<Value>, length: usize) -> Option<SessionEvent> {
+        self.commands_received += 1;
+        let sequence = self.replies.push();
         // The reply is held back until the whole value has been received.
-        self.replies.hold(place);
+        self.replies.hold(sequence);
         let streamed = Rc::new(StreamedValue::new(length));
-        self.incoming = Some(IncomingValue { place, streamed: Rc::clone(&streamed), left: length });
+        self.incoming = Some(IncomingValue { sequence, streamed: Rc::clone(&streamed), remaining: length });
         words.push(Value::Bulk(Some(Vec::new())));
         match command::parse(Value::Array(Some(words))) {
-            Ok(ClientCommand::Object(mut call)) if call.value.is_some() => {
-                (call.value, call.streamed) = (None, Some(streamed));
-                Some(SessionEvent::Command(place, call))
+            Ok(ClientCommand::Request(mut command)) if command.value.is_some() => {
+                (command.value, command.streamed) = (None, Some(streamed));
+                Some(SessionEvent::Command(sequence, command))
             }
             Ok(_) => {
-                self.reject(place, "wrong number of arguments");
+                self.reject(sequence, "wrong number of arguments");
                 None
             }
             Err(error) => {
-                self.reject(place, &error.to_string());
+                self.reject(sequence, &error.to_string());
                 None
             }
         }
@@ -140,10 +141,10 @@
     /// Moves received bytes into the streamed value. Returns false until the value is complete.
     fn receive_streamed(&mut self) -> Result<bool, Malformed> {
         let Some(incoming) = &mut self.incoming else { return Ok(true) };
-        let data = self.reader.take(incoming.left.min(incoming.streamed.room()));
+        let data = self.reader.take(incoming.remaining.min(incoming.streamed.room()));
         incoming.streamed.push(&data);
-        incoming.left -= data.len();
-        if incoming.left > 0 || self.reader.end_of_bulk()?.is_none() {
+        incoming.remaining -= data.len();
+        if incoming.remaining > 0 || self.reader.end_of_bulk()?.is_none() {
             return Ok(false);
         }
         incoming.streamed.finish();
@@ -157,34 +158,34 @@
         self.incoming.as_ref().map(|i| Rc::clone(&i.streamed))
     }
 
-    /// Position of the command whose value is being received.
-    pub fn incoming_place(&self) -> Option<u64> {
-        self.incoming.as_ref().map(|i| i.place)
+    /// Sequence number of the command whose value is being received.
+    pub fn incoming_sequence(&self) -> Option<u64> {
+        self.incoming.as_ref().map(|i| i.sequence)
     }
 
     /// Aborts the value that is being received: answers its command with the error `text` and closes the session.
     pub fn abort_incoming(&mut self, text: &str) {
         if let Some(incoming) = self.incoming.take() {
             incoming.streamed.abort();
-            self.reject(incoming.place, text);
+            self.reject(incoming.sequence, text);
             self.close();
             self.replies.release();
         }
     }
 
     /// Answers `PING` with `+PONG`, or with `-LOADING` if the proxy is not ready.
-    pub fn pong(&mut self, place: u64, ready: bool) {
+    pub fn pong(&mut self, sequence: u64, ready: bool) {
         let line: &[u8] = if ready { b"+PONG\r\n" } else { b"-LOADING not ready\r\n" };
-        self.put(place, line.to_vec());
+        self.queue_reply(sequence, line.to_vec());
     }
 
     /// Answers a command with the error `text`.
-    pub fn reject(&mut self, place: u64, text: &str) {
-        self.put(place, format!("-ERR {text}\r\n").into_bytes());
+    pub fn reject(&mut self, sequence: u64, text: &str) {
+        self.queue_reply(sequence, format!("-ERR {text}\r\n").into_bytes());
     }
 
     /// Queues the final answer to a request.
-    pub fn answer(&mut self, place: u64, answer: Answer) {
+    pub fn answer(&mut self, sequence: u64, answer: Answer) {
         let mut bytes = Vec::new();
         match answer {
             Answer::Served(value) => {
@@ -198,23 +199,23 @@
             }
             Answer::Failed => bytes.extend_from_slice(b"-ERR failed\r\n"),
             Answer::Absent => bytes.extend_from_slice(b"$-1\r\n"),
-            Answer::PassedOn => return self.replies.end_relay(place),
-            Answer::Cut if self.replies.is_relaying(place) => {
+            Answer::PassedOn => return self.replies.end_relay(sequence),
+            Answer::Cut if self.replies.is_relaying(sequence) => {
                 self.replies.cut_relay();
                 return self.close();
             }
             // No part of the value has been sent, so an error can still be returned.
             Answer::Cut => bytes.extend_from_slice(b"-ERR failed\r\n"),
         }
-        self.put(place, bytes);
+        self.queue_reply(sequence, bytes);
     }
 
-    fn put(&mut self, place: u64, bytes: Vec<u8>) {
+    fn queue_reply(&mut self, sequence: u64, bytes: Vec<u8>) {
         // The rest of the value is not needed once the command is answered.
-        if let Some(incoming) = self.incoming.as_ref().filter(|i| i.place == place) {
+        if let Some(incoming) = self.incoming.as_ref().filter(|i| i.sequence == sequence) {
             incoming.streamed.skip();
         }
-        self.replies.put(place, bytes);
+        self.replies.set(sequence, bytes);
     }
 
     /// The queued replies.
@@ -238,42 +239,42 @@
         if self.incoming.is_some() {
             self.abort_incoming("the command took too long");
         } else if self.unparsed_bytes() > 0 {
-            self.end_with("the command took too long");
+            self.reject_and_close("the command took too long");
         }
         self.close();
-        self.silent = true;
+        self.timed_out = true;
     }
 
     /// Closes the session to free the memory of its incomplete command.
     pub fn evict_half_read(&mut self) {
-        self.end_with("too many half-sent commands");
+        self.reject_and_close("too many half-sent commands");
         self.malformed = true;
     }
 
     /// Queues an error as the next reply and closes the session.
-    fn end_with(&mut self, text: &str) {
-        let place = self.replies.push();
-        self.reject(place, text);
+    fn reject_and_close(&mut self, text: &str) {
+        let sequence = self.replies.push();
+        self.reject(sequence, text);
         self.close();
     }
 
     /// Whether the session was closed by [`ClientSession::expire`].
-    pub fn silent(&self) -> bool {
-        self.silent
+    pub fn timed_out(&self) -> bool {
+        self.timed_out
     }
 
     /// Number of complete commands received.
     pub fn commands_received(&self) -> u64 {
-        self.asked
+        self.commands_received
     }
 
     /// Accepts no further commands. A command that was received in part is still completed, but no byte after it is read.
     pub fn finish(&mut self) {
         self.finishing = true;
-        self.close_if_between();
+        self.close_if_no_partial_command();
     }
 
-    fn close_if_between(&mut self) {
+    fn close_if_no_partial_command(&mut self) {
         if self.finishing && self.incoming.is_none() && self.unparsed_bytes() == 0 {
             self.close();
         }
@@ -281,15 +282,17 @@
 
     /// Maximum number of bytes to read from the socket next. After [`ClientSession::finish`], bytes behind the last accepted
     /// command stay in the socket.
-    pub fn may_read(&self) -> usize {
+    pub fn max_read_bytes(&self) -> usize {
         if !self.finishing {
             return usize::MAX;
         }
         if let Some(incoming) = &self.incoming {
-            return (incoming.left + END_OF_BULK).saturating_sub(self.unparsed_bytes()).max(1);
+            return (incoming.remaining + BULK_TERMINATOR_BYTES).saturating_sub(self.unparsed_bytes()).max(1);
         }
-        match self.reader.large_last(WRITE_WORDS, MAX_STREAMED_VALUE) {
-            Some((_, length, at)) => (at + length + END_OF_BULK).saturating_sub(self.unparsed_bytes()).max(1),
+        match self.reader.large_last(SET_COMMAND_WORDS, MAX_STREAMED_VALUE) {
+            Some((_, length, at)) => {
+                (at + length + BULK_TERMINATOR_BYTES).saturating_sub(self.unparsed_bytes()).max(1)
+            }
             None => self.reader.missing(),
         }
     }
@@ -298,14 +301,14 @@
     /// continues. Returns the number of rejected commands.
     pub fn refuse_rest(&mut self) -> usize {
         while self.next_event().is_some() {}
-        let mut places = self.replies.pending_places();
-        places.retain(|place| !self.replies.is_relaying(*place));
-        for place in &places {
-            self.answer(*place, Answer::Refused { retry_after: COME_AGAIN });
+        let mut sequences = self.replies.pending_sequences();
+        sequences.retain(|sequence| !self.replies.is_relaying(*sequence));
+        for sequence in &sequences {
+            self.answer(*sequence, Answer::Refused { retry_after: STOPPING_RETRY_AFTER_US });
         }
         self.abort_incoming("the proxy is stopping");
         self.close();
-        places.len()
+        sequences.len()
     }
 
     /// Stops reading and discards unparsed input; queued replies are still written.
@@ -323,7 +326,7 @@
     }
 
     /// Whether input is still read.
-    pub fn reads(&self) -> bool {
+    pub fn is_reading(&self) -> bool {
         !self.closing
     }
 
--- a/proxy/src/wire/client_session/reply_queue.rs
+++ b/proxy/src/wire/client_session/reply_queue.rs
@@ -2,15 +2,15 @@
 
 use std::collections::VecDeque;
 
-/// Replies, addressed by the position of their command on the connection.
+/// Replies, addressed by the sequence number of their command on the connection.
 #[derive(Default)]
 pub struct ReplyQueue {
     /// Replies not yet moved to the output, oldest first; `None` until the reply is known.
     slots: VecDeque<Option<Vec<u8>>>,
-    /// Position of the first slot.
+    /// Sequence number of the first slot.
     first: u64,
-    /// Position of a reply that is held back because its command is still being received.
-    held: Option<u64>,
+    /// Sequence number of a reply that is held back because its command is still being received.
+    held_back: Option<u64>,
     out: Vec<u8>,
     /// Bytes of `out` already written.
     written: usize,
@@ -21,41 +21,41 @@
 }
 
 impl ReplyQueue {
-    /// Adds a slot for the next command's reply and returns its position.
+    /// Adds a slot for the next command's reply and returns its sequence number.
     pub fn push(&mut self) -> u64 {
         self.slots.push_back(None);
         self.first + self.slots.len() as u64 - 1
     }
 
-    /// Holds back the reply at `place`, and those behind it, until [`ReplyQueue::release`].
-    pub fn hold(&mut self, place: u64) {
-        self.held = Some(place);
+    /// Holds back the reply at `sequence`, and those behind it, until [`ReplyQueue::release`].
+    pub fn hold(&mut self, sequence: u64) {
+        self.held_back = Some(sequence);
     }
 
     /// Ends the hold of [`ReplyQueue::hold`].
     pub fn release(&mut self) {
-        self.held = None;
+        self.held_back = None;
         self.advance();
     }
 
-    /// Sets the reply at `place`. Ignored if that reply is already set.
-    pub fn put(&mut self, place: u64, bytes: Vec<u8>) {
-        let slot = place.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize));
+    /// Sets the reply at `sequence`. Ignored if that reply is already set.
+    pub fn set(&mut self, sequence: u64, bytes: Vec<u8>) {
+        let slot = sequence.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize));
         if let Some(slot @ None) = slot {
             *slot = Some(bytes);
         }
         self.advance();
     }
 
-    /// Whether the reply at `place` is not set yet.
-    pub fn awaits(&self, place: u64) -> bool {
-        let slot = place.checked_sub(self.first).and_then(|i| self.slots.get(i as usize));
+    /// Whether the reply at `sequence` is not set yet.
+    pub fn is_missing(&self, sequence: u64) -> bool {
+        let slot = sequence.checked_sub(self.first).and_then(|i| self.slots.get(i as usize));
         matches!(slot, Some(None))
     }
 
-    /// Whether the reply at `place` is not set yet and all earlier ones are in the output.
-    pub fn is_next(&self, place: u64) -> bool {
-        place == self.first && matches!(self.slots.front(), Some(None))
+    /// Whether the reply at `sequence` is not set yet and all earlier ones are in the output.
+    pub fn is_next(&self, sequence: u64) -> bool {
+        sequence == self.first && matches!(self.slots.front(), Some(None))
     }
 
     /// Starts to relay the next reply, a value of `length` bytes.
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Completes the relayed reply at `place`.
-    pub fn end_relay(&mut self, place: u64) {
-        if self.is_relaying(place) {
+    /// Completes the relayed reply at `sequence`.
+    pub fn end_relay(&mut self, sequence: u64) {
+        if self.is_relaying(sequence) {
             self.relaying = false;
             self.append(b"\r\n");
             self.slots.pop_front();
@@ -87,13 +87,13 @@
         self.cut = true;
     }
 
-    /// Whether the reply at this place is being relayed.
-    pub fn is_relaying(&self, place: u64) -> bool {
-        self.relaying && place == self.first
+    /// Whether the reply at `sequence` is being relayed.
+    pub fn is_relaying(&self, sequence: u64) -> bool {
+        self.relaying && sequence == self.first
     }
 
     /// Whether a reply is being relayed. No further command is accepted meanwhile.
-    pub fn relaying(&self) -> bool {
+    pub fn has_relay(&self) -> bool {
         self.relaying
     }
 
@@ -111,7 +111,7 @@
     /// Moves replies to the output, up to the first one that is missing or held back.
     fn advance(&mut self) {
         while let Some(Some(bytes)) = self.slots.front_mut() {
-            if self.held == Some(self.first) {
+            if self.held_back == Some(self.first) {
                 return;
             }
             if self.written == self.out.len() {
@@ -130,7 +130,7 @@
     }
 
     /// Removes the first `n` bytes of the output, which were written.
-    pub fn wrote(&mut self, n: usize) {
+    pub fn mark_written(&mut self, n: usize) {
         self.written = (self.written + n).min(self.out.len());
         if self.written == self.out.len() {
             (self.out, self.written) = (Vec::new(), 0);
@@ -153,8 +153,8 @@
     }
 
     /// Positions of the replies that are not set yet.
-    pub fn pending_places(&self) -> Vec<u64> {
-        let open = self.slots.iter().enumerate().filter(|(_, reply)| reply.is_none());
-        open.map(|(i, _)| self.first + i as u64).collect()
+    pub fn pending_sequences(&self) -> Vec<u64> {
+        let missing = self.slots.iter().enumerate().filter(|(_, reply)| reply.is_none());
+        missing.map(|(i, _)| self.first + i as u64).collect()
     }
 }
--- a/proxy/src/wire/command.rs
+++ b/proxy/src/wire/command.rs
@@ -8,7 +8,7 @@
 /// Maximum deadline of a request.
 const MAX_DEADLINE_MS: f64 = 3_600_000.0;
 /// Maximum length in bytes of a key, a request id or the list of names and values.
-const MAX_WORD: usize = 4096;
+const MAX_ARGUMENT_BYTES: usize = 4096;
 
 /// A parsed `OBJ.GET` or `OBJ.SET`.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
     /// Comma-separated list of `name=value` pairs.
     pub info: Vec<u8>,
     /// Start and end of the value of `d` in `info`.
-    deadline_at: (usize, usize),
+    deadline_range: (usize, usize),
     /// Value of a write; `None` for a read and for a streamed value.
     pub value: Option<Vec<u8>>,
     /// Streamed value of a write; `None` for a read and for a buffered value.
@@ -39,7 +39,7 @@
 #[derive(Debug, PartialEq)]
 pub enum ClientCommand {
     /// `OBJ.GET` or `OBJ.SET`.
-    Object(Box<BackendCommand>),
+    Request(Box<BackendCommand>),
     /// `PING`.
     Ping,
 }
@@ -55,28 +55,28 @@
     Empty,
     /// Unknown command name.
     #[error("unknown command")]
-    Unknown,
+    UnknownCommand,
     /// Too few or too many arguments.
     #[error("wrong number of arguments")]
     ArgumentCount,
     /// An argument cannot be used in an HTTP header or path.
     #[error("key, id and list must be plain words")]
-    NotPlain,
+    InvalidArgument,
     /// The list contains an element without `=`.
     #[error("the list must hold names and values")]
-    BadList,
+    InvalidInfo,
     /// The list has no `d`.
     #[error("d is missing")]
-    NoDeadline,
+    MissingDeadline,
     /// `d` is not a positive decimal number of milliseconds.
     #[error("d is not a number")]
-    BadDeadline,
+    InvalidDeadline,
     /// `d` exceeds the maximum deadline.
     #[error("d is too long")]
     DeadlineTooLong,
 }
 
-fn word(value: Value) -> Option<Vec<u8>> {
+fn into_bulk_bytes(value: Value) -> Option<Vec<u8>> {
     match value {
         Value::Bulk(bytes) => bytes,
         _ => None,
@@ -84,39 +84,39 @@
 }
 
 /// Whether a word can be used in an HTTP header or path. Control characters would allow header injection at the origin.
-fn plain(word: &[u8]) -> bool {
-    (1..=MAX_WORD).contains(&word.len()) && word.iter().all(|&b| b > b' ' && b != 0x7f)
+fn is_header_safe(word: &[u8]) -> bool {
+    (1..=MAX_ARGUMENT_BYTES).contains(&word.len()) && word.iter().all(|&b| b > b' ' && b != 0x7f)
 }
 
 /// Parses and validates a command.
 pub fn parse(value: Value) -> Result<ClientCommand, CommandError> {
     let Value::Array(Some(items)) = value else { return Err(CommandError::NotStrings) };
-    let words: Option<Vec<Vec<u8>>> = items.into_iter().map(word).collect();
+    let words: Option<Vec<Vec<u8>>> = items.into_iter().map(into_bulk_bytes).collect();
     let mut words = words.ok_or(CommandError::NotStrings)?.into_iter();
     let command = words.next().ok_or(CommandError::Empty)?;
-    let rest: Vec<Vec<u8>> = words.collect();
+    let arguments: Vec<Vec<u8>> = words.collect();
     if command.eq_ignore_ascii_case(b"PING") {
         return Ok(ClientCommand::Ping);
     }
-    let write = command.eq_ignore_ascii_case(b"OBJ.SET");
-    if !write && !command.eq_ignore_ascii_case(b"OBJ.GET") {
-        return Err(CommandError::Unknown);
+    let is_write = command.eq_ignore_ascii_case(b"OBJ.SET");
+    if !is_write && !command.eq_ignore_ascii_case(b"OBJ.GET") {
+        return Err(CommandError::UnknownCommand);
     }
-    let (key, id, info, value) = match <[Vec<u8>; 4]>::try_from(rest) {
-        Ok([key, id, info, value]) if write => (key, id, info, Some(value)),
-        Err(rest) if !write => match <[Vec<u8>; 3]>::try_from(rest) {
+    let (key, id, info, value) = match <[Vec<u8>; 4]>::try_from(arguments) {
+        Ok([key, id, info, value]) if is_write => (key, id, info, Some(value)),
+        Err(rest) if !is_write => match <[Vec<u8>; 3]>::try_from(rest) {
             Ok([key, id, info]) => (key, id, info, None),
             Err(_) => return Err(CommandError::ArgumentCount),
         },
         _ => return Err(CommandError::ArgumentCount),
     };
-    if !plain(&key) || !plain(&id) || !plain(&info) {
-        return Err(CommandError::NotPlain);
+    if !is_header_safe(&key) || !is_header_safe(&id) || !is_header_safe(&info) {
+        return Err(CommandError::InvalidArgument);
     }
-    let text = std::str::from_utf8(&info).map_err(|_| CommandError::NotPlain)?;
+    let text = std::str::from_utf8(&info).map_err(|_| CommandError::InvalidArgument)?;
     let (mut class, mut tenant, mut deadline, mut at) = ("", "", None, 0);
     for pair in text.split(',') {
-        let (name, value) = pair.split_once('=').ok_or(CommandError::BadList)?;
+        let (name, value) = pair.split_once('=').ok_or(CommandError::InvalidInfo)?;
         match name {
             "c" => class = value,
             "t" => tenant = value,
@@ -125,23 +125,24 @@
         }
         at += pair.len() + 1;
     }
-    let (start, number) = deadline.ok_or(CommandError::NoDeadline)?;
+    let (start, number) = deadline.ok_or(CommandError::MissingDeadline)?;
     // Only digits and a decimal point; rejects other forms that `f64` accepts (inf, 1e9, +5).
     let digits = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let wait = number.parse::<f64>().ok().filter(|d| digits && *d > 0.0).ok_or(CommandError::BadDeadline)?;
+    let wait =
+        number.parse::<f64>().ok().filter(|d| digits && *d > 0.0).ok_or(CommandError::InvalidDeadline)?;
     if wait > MAX_DEADLINE_MS {
         return Err(CommandError::DeadlineTooLong);
     }
     let (class, tenant) = (class.to_owned(), tenant.to_owned());
     let wait = notchdoor_settings::micros(wait);
-    let deadline_at = (start, start + number.len());
+    let deadline_range = (start, start + number.len());
     let streamed = None;
-    Ok(ClientCommand::Object(Box::new(BackendCommand {
+    Ok(ClientCommand::Request(Box::new(BackendCommand {
         command,
         key,
         id,
         info,
-        deadline_at,
+        deadline_range,
         value,
         streamed,
         class,
@@ -153,19 +154,19 @@
 impl BackendCommand {
     /// Returns `info` with `d` replaced by `wait`, in whole milliseconds and at least 1.
     pub fn info_with_deadline(&self, wait: Micros) -> Vec<u8> {
-        let (start, end) = self.deadline_at;
+        let (start, end) = self.deadline_range;
         let number = (wait / 1000).max(1).to_string();
         let (before, after) = (self.info.get(..start), self.info.get(end..));
         [before.unwrap_or_default(), number.as_bytes(), after.unwrap_or_default()].concat()
     }
 
     /// Length in bytes of a write's value; `None` for a read.
-    pub fn writes(&self) -> Option<usize> {
-        self.streamed.as_ref().map(|u| u.length).or(self.value.as_ref().map(Vec::len))
+    pub fn value_len(&self) -> Option<usize> {
+        self.streamed.as_ref().map(|s| s.length).or(self.value.as_ref().map(Vec::len))
     }
 
     /// Size in bytes of the buffered arguments.
-    pub fn size(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.key.len() + self.id.len() + self.info.len() + self.value.as_ref().map_or(0, Vec::len)
     }
 }
--- a/proxy/src/wire/command/tests.rs
+++ b/proxy/src/wire/command/tests.rs
@@ -5,23 +5,23 @@
 }
 
 #[test]
-fn a_call_is_taken_apart_and_only_d_changes() {
-    let Ok(ClientCommand::Object(call)) =
+fn parses_a_request_and_replaces_only_its_deadline() {
+    let Ok(ClientCommand::Request(request)) =
         parse(command(&["OBJ.SET", "k1", "i1", "c=put,d=480,t=acme,k=5c", "v"]))
     else {
-        panic!("a call")
+        panic!("not parsed as a request")
     };
-    assert_eq!((call.class.as_str(), call.tenant.as_str(), call.wait), ("put", "acme", 480_000));
-    assert_eq!(call.value.as_deref(), Some(b"v".as_slice()));
-    assert_eq!(call.info_with_deadline(99_900), b"c=put,d=99,t=acme,k=5c");
-    assert_eq!(call.info_with_deadline(0), b"c=put,d=1,t=acme,k=5c");
+    assert_eq!((request.class.as_str(), request.tenant.as_str(), request.wait), ("put", "acme", 480_000));
+    assert_eq!(request.value.as_deref(), Some(b"v".as_slice()));
+    assert_eq!(request.info_with_deadline(99_900), b"c=put,d=99,t=acme,k=5c");
+    assert_eq!(request.info_with_deadline(0), b"c=put,d=1,t=acme,k=5c");
     assert_eq!(parse(command(&["ping"])), Ok(ClientCommand::Ping));
     let accented = parse(command(&["OBJ.GET", "k", "i", "c=read,t=Chávez,d=1"]));
-    assert!(matches!(accented, Ok(ClientCommand::Object(call)) if call.tenant == "Chávez"));
+    assert!(matches!(accented, Ok(ClientCommand::Request(request)) if request.tenant == "Chávez"));
 }
 
 #[test]
-fn what_is_no_call_is_told() {
+fn invalid_commands_return_the_matching_error() {
     let cases: &[(Value, &str)] = &[
         (Value::Int(1), "a command is an array of strings"),
         (Value::Array(None), "a command is an array of strings"),
@@ -44,7 +44,7 @@
         (command(&["OBJ.GET", "k", "i", "d="]), "d is not a number"),
     ];
     for (value, text) in cases {
-        let told = parse(value.clone()).map_err(|error| error.to_string());
-        assert_eq!(told, Err((*text).to_owned()), "{value:?}");
+        let result = parse(value.clone()).map_err(|error| error.to_string());
+        assert_eq!(result, Err((*text).to_owned()), "{value:?}");
     }
 }
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -148,7 +148,7 @@
     if let Some(task) = runtime.attempts_out.borrow_mut().remove(&attempt_id) {
         task.detach();
     }
-    if let Some(missing) = runtime.missing.as_ref().filter(|_| call.writes().is_some()) {
+    if let Some(missing) = runtime.missing.as_ref().filter(|_| call.value_len().is_some()) {
         // A receipt that is given was voided for before; any other write that went out whole may have run.
         if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
         {
@@ -211,7 +211,7 @@
         return Reply::without_value(AttemptOutcome::NotSent);
     };
     let missing = runtime.missing.as_ref().filter(|_| is_origin);
-    let looked = match missing.filter(|_| call.writes().is_none()) {
+    let looked = match missing.filter(|_| call.value_len().is_none()) {
         Some(missing) => match missing.lookup(&call.key).await {
             KeyLookup::KnownMissing => return Reply::without_value(AttemptOutcome::Absent),
             KeyLookup::AskOrigin(looked) => Some(looked),
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -67,14 +67,14 @@
                 0 => client.used.get(),
                 since => since,
             };
-            let late = session.reads() && since + COMMAND_TIMEOUT <= now;
+            let late = session.is_reading() && since + COMMAND_TIMEOUT <= now;
             drop(session);
             if late {
                 late_places.extend(
                     client
                         .session
                         .borrow()
-                        .incoming_place()
+                        .incoming_sequence()
                         .map(|sequence| ReplySlot { connection: id, sequence }),
                 );
                 client.session.borrow_mut().expire();
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -127,7 +127,7 @@
             match self.io.get_ref().write(session.replies().output()) {
                 Ok(0) => self.broken.set(true),
                 Ok(n) => {
-                    session.replies_mut().wrote(n);
+                    session.replies_mut().mark_written(n);
                     self.moved.set(now);
                     continue;
                 }
@@ -165,7 +165,7 @@
             Some(match session.malformed() {
                 _ if session.replies().was_cut() => ConnectionEnd::ReplyCut,
                 true => ConnectionEnd::ClientMalformed,
-                false if session.silent() => ConnectionEnd::ClientSilent,
+                false if session.timed_out() => ConnectionEnd::ClientSilent,
                 false => ConnectionEnd::ClosedIdle,
             })
         } else if self.retiring.get()
@@ -215,7 +215,7 @@
     /// Nothing more is read from a client, and none of the answers that it is owed are wanted.
     fn part(self: &Rc<Self>, id: u64, client: &Client) {
         client.session.borrow_mut().close();
-        let places = client.session.borrow().replies().pending_places();
+        let places = client.session.borrow().replies().pending_sequences();
         for place in places {
             self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence: place }));
         }
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -50,10 +50,10 @@
         client.note_half_command(read_at);
         client.flush(runtime.clock.now());
         runtime.evict_half_read();
-        if !client.session.borrow().reads() {
+        if !client.session.borrow().is_reading() {
             return until_gone(client).await;
         }
-        let most = client.session.borrow().may_read().min(buffer.len());
+        let most = client.session.borrow().max_read_bytes().min(buffer.len());
         let n = match client.io.get_ref().read(buffer.get_mut(..most).unwrap_or_default()) {
             Ok(0) => return ConnectionEnd::ClientLeft,
             Ok(n) => n,
@@ -84,7 +84,7 @@
     loop {
         // A cut would take the requests behind it along: they are left unread until the relayed answer is complete.
         let relayed = client.while_there(async {
-            while client.session.borrow().replies().relaying() {
+            while client.session.borrow().replies().has_relay() {
                 client.room.listen().await;
             }
         });
@@ -105,7 +105,7 @@
         }
         match event {
             // Refused meanwhile: the process ends.
-            SessionEvent::Command(place, _) if !client.session.borrow().replies().awaits(place) => {}
+            SessionEvent::Command(place, _) if !client.session.borrow().replies().is_missing(place) => {}
             SessionEvent::Ping(place) => client.session.borrow_mut().pong(place, runtime.ready()),
             SessionEvent::Command(place, call) => {
                 take(runtime, client, ReplySlot { connection: id, sequence: place }, *call, read_at);
@@ -179,7 +179,7 @@
             class: call.class.clone(),
             tenant: call.tenant.clone(),
             key: call.key.clone(),
-            write: call.writes().is_some(),
+            write: call.value_len().is_some(),
             due: read_at.saturating_add(wait),
             call,
         };
--- a/proxy/src/wire/driver/watch.rs
+++ b/proxy/src/wire/driver/watch.rs
@@ -3,7 +3,7 @@
 use super::Runtime;
 use crate::net;
 use crate::outcome::DiscoveryEnd;
-use crate::wire::discovery::{self, Ended};
+use crate::wire::discovery::{self, WatchEnded};
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::future::Future;
@@ -73,7 +73,7 @@
             return Ok(());
         }
         let updates = decoder.feed(buffer.get(..n).unwrap_or_default());
-        for update in updates.map_err(|Ended(why)| (DiscoveryEnd::Broken, why))? {
+        for update in updates.map_err(|WatchEnded(why)| (DiscoveryEnd::Broken, why))? {
             // A beat that changes nothing is no news.
             let level = if update.targets.is_empty() { log::Level::Debug } else { log::Level::Info };
             let (rev, lines) = (update.rev, update.targets.len());
@@ -81,8 +81,8 @@
             runtime.drive(|proxy, now| proxy.update(now, update));
         }
         // A beat will do: discovery is there and has nothing that the list held lacks.
-        if decoder.lines() > lines {
-            (lines, line_at) = (decoder.lines(), Instant::now());
+        if decoder.lines_received() > lines {
+            (lines, line_at) = (decoder.lines_received(), Instant::now());
             runtime.heard.set(true);
             runtime.proxy.borrow_mut().endpoints.set_current();
         }
--- a/proxy/src/wire/origin.rs
+++ b/proxy/src/wire/origin.rs
@@ -10,8 +10,8 @@
 /// `GET /KEY`, or `PUT /KEY` with the value (unless that passes through and follows in reply_parts), with the id and the list
 /// of names and values, in which `d` is how long the proxy will wait.
 pub fn encode(call: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
-    let method = if call.writes().is_some() { "PUT" } else { "GET" };
-    let mut out = Vec::with_capacity(call.size() + 256);
+    let method = if call.value_len().is_some() { "PUT" } else { "GET" };
+    let mut out = Vec::with_capacity(call.buffered_bytes() + 256);
     out.extend_from_slice(format!("{method} /").as_bytes());
     for &byte in &call.key {
         // The call's words are plain; what a path may not hold as it is goes out as its number.
@@ -25,7 +25,7 @@
     out.extend_from_slice(&call.id);
     out.extend_from_slice(b"\r\nX-Call-Info: ");
     out.extend_from_slice(&call.info_with_deadline(wait));
-    if let Some(length) = call.writes() {
+    if let Some(length) = call.value_len() {
         out.extend_from_slice(format!("\r\nContent-Length: {length}\r\n\r\n").as_bytes());
         out.extend_from_slice(call.value.as_deref().unwrap_or_default());
     } else {
--- a/proxy/src/wire/origin/tests.rs
+++ b/proxy/src/wire/origin/tests.rs
@@ -5,7 +5,7 @@
 fn call(words: &[&str]) -> Box<BackendCommand> {
     let words = words.iter().map(|w| Value::Bulk(Some(w.as_bytes().to_vec()))).collect();
     match parse(Value::Array(Some(words))) {
-        Ok(ClientCommand::Object(call)) => call,
+        Ok(ClientCommand::Request(call)) => call,
         other => panic!("{other:?}"),
     }
 }
--- a/proxy/tests/session_end.rs
+++ b/proxy/tests/session_end.rs
@@ -30,8 +30,8 @@
     let mut taken = places(&mut session).len();
     session.finish();
     let mut read = at;
-    while session.reads() && read < bytes.len() {
-        let most = session.may_read().min(bytes.len() - read);
+    while session.is_reading() && read < bytes.len() {
+        let most = session.max_read_bytes().min(bytes.len() - read);
         assert!(most > 0, "it would wait for nothing");
         session.feed(&bytes[read..read + most]);
         read += most;
@@ -81,10 +81,10 @@
     assert!(session.next_event().is_some());
     session.answer(0, Answer::Served(b"v".to_vec()));
     // One is with the proxy's driver, the next waits in the session, the last is half there.
-    assert!(session.next_event().is_some() && session.replies().awaits(1));
+    assert!(session.next_event().is_some() && session.replies().is_missing(1));
     assert_eq!(session.refuse_rest(), 1);
     assert_eq!(session.replies().output(), b"$1\r\nv\r\n-BUSY 1\r\n");
-    assert!(!session.replies().awaits(1) && !session.reads());
+    assert!(!session.replies().is_missing(1) && !session.is_reading());
     let mut session = ClientSession::default();
     session.feed(&bytes);
     assert_eq!(session.refuse_rest(), 3);
