--- a/cli/tests/operations.rs
+++ b/cli/tests/operations.rs
@@ -260,7 +260,7 @@
     std::fs::remove_dir(&new).unwrap();
     assert_eq!(out(&proxy, "a"), Some(200));
     let told = proxy.told();
-    assert!(told.contains("cannot be kept for an upgrade"), "{told}");
+    assert!(told.contains("cannot save the drain state"), "{told}");
 }
 
 #[test]
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -1,5 +1,5 @@
-//! Operators' calls: accepting, reading one call, answering it. Their tasks run on an executor of their own, which
-//! gets its turn before the clients' one.
+//! Admin server: accepts connections, reads one request from each and answers it. Its tasks run on a separate executor
+//! that takes precedence over the one for clients.
 
 use super::Runtime;
 use crate::net::Listener;
@@ -14,31 +14,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Callers at once; their descriptors are set aside. Of more, the one that has kept its call back for longest goes:
-/// idle callers must not shut out those who have something to ask.
+/// Maximum number of open admin connections, for which descriptors are reserved. At the limit, a new connection evicts
+/// the oldest one that has not sent a request.
 const MOST_CALLERS: usize = 12;
-/// The time for a call to come in whole, and for its answer to be taken.
+/// Timeout for reading a request, and for writing its reply.
 const TIME: Duration = Duration::from_secs(2);
-/// For so long after the answer the rest of what a caller sends is read: a socket that is closed with unread bytes
-/// is reset, and the answer may be lost.
+/// Limits on reading further input after the reply. Closing a socket with unread bytes resets it, and the reply may be
+/// lost.
 const LINGER: Duration = Duration::from_millis(200);
 const LINGER_BYTES: usize = 64 * 1024;
-/// The longest wait for the other process to write, and to heed, a change. Callers wait a second.
+/// Maximum waits for another process to finish writing a change, and to apply this one. Callers time out after 1 s.
 const WRITING: Duration = Duration::from_millis(500);
 const HEEDING: Duration = Duration::from_millis(300);
 const LOOK_AGAIN: Duration = Duration::from_millis(5);
 
-/// Opens the address where operators call.
+/// Binds the admin address.
 pub fn bind(address: SocketAddr) -> std::io::Result<Listener> {
     Listener::bind(address)
 }
 
-/// Takes calls until the task is dropped.
+/// Accepts admin connections until the task is dropped.
 pub async fn accept(runtime: Rc<Runtime>, listener: Listener) {
-    // Oldest first; those whose call is being carried out are not sent away.
+    // Oldest first. The flag is set once the request was read.
     let mut callers: Vec<(Rc<Cell<bool>>, Task<()>)> = Vec::new();
     loop {
-        let io = listener.accept(|error| log::debug!("operators: cannot accept: {error}")).await;
+        let io = listener.accept(|error| log::debug!("admin: cannot accept a connection: {error}")).await;
         callers.retain(|(_, task)| !task.is_finished());
         if callers.len() >= MOST_CALLERS {
             let idle = callers.iter().position(|(called, _)| !called.get());
@@ -59,7 +59,7 @@
 }
 
 async fn serve(runtime: Rc<Runtime>, mut io: Async<TcpStream>, called: Rc<Cell<bool>>) {
-    // A caller that says nothing in its time is owed nothing.
+    // A connection without a complete request is closed without a reply.
     let Some(call) = within(TIME, read(&mut io)).await else { return };
     called.set(true);
     let reply = match call {
@@ -73,7 +73,7 @@
     }
 }
 
-/// One call or error; `None` if the caller has gone.
+/// Reads one request; `None` if the connection ended before it was complete.
 async fn read(io: &mut Async<TcpStream>) -> Option<Result<AdminRequest, crate::wire::admin::RequestError>> {
     let (mut reader, mut buffer) = (RequestReader::default(), [0; 2048]);
     loop {
@@ -112,18 +112,19 @@
     }
 }
 
-fn not_kept(backend: &str, what: &str, why: &HotRestartError) -> Reply {
-    log::error!("operators: {backend} {what}: cannot be kept for an upgrade, nothing is changed: {why}");
-    Reply::text(500, "cannot be kept for an upgrade, nothing is changed")
+fn save_failed(backend: &str, action: &str, why: &HotRestartError) -> Reply {
+    log::error!("admin: {action} {backend}: cannot save the drain state, nothing changed: {why}");
+    Reply::text(500, "cannot save the drain state, nothing changed")
 }
 
-/// Takes a backend out or puts it back: kept for a successor first, then carried out here, then heeded by the other
-/// process if there is one; then the yes.
+/// Drains a backend or ends its drain. Saves the change for a later process first, then applies it here, and waits for
+/// other processes of this proxy to apply it before it replies.
 async fn change(runtime: &Rc<Runtime>, backend: &str, out: bool) -> Reply {
-    let (what, cold) = (if out { "out" } else { "back" }, runtime.network.warmup);
+    let (action, state) = if out { ("detach", "out") } else { ("attach", "back") };
+    let cold = runtime.network.warmup;
     if !runtime.proxy.borrow().endpoints.knows(backend) {
-        log::warn!("operators: {backend:.256} {what}: no cache backend has this name");
-        return Reply::text(404, "no cache worker has this name");
+        log::warn!("admin: {action} {backend:.256}: no cache backend has this name");
+        return Reply::text(404, "no cache backend has this name");
     }
     let mut full = false;
     let until = Instant::now() + WRITING;
@@ -142,7 +143,7 @@
         };
         match change {
             Ok(Change::Unchanged) => break,
-            // The disk's time is no client's: it is waited for on a thread of its own.
+            // Writing may block on the disk, so it runs on another thread.
             Ok(Change::Pending(begun)) => match unblock(|| begun.keep()).await {
                 Ok(state) => {
                     if let Some(hot_restart) = runtime.hot_restart.borrow_mut().as_mut() {
@@ -150,24 +151,24 @@
                     }
                     break;
                 }
-                Err(why) => return not_kept(backend, what, &why),
+                Err(why) => return save_failed(backend, action, &why),
             },
             Ok(Change::Busy) if Instant::now() < until => {
                 Timer::after(LOOK_AGAIN).await;
             }
-            Ok(Change::Busy) => return Reply::text(503, "another change is being made"),
-            Err(why) => return not_kept(backend, what, &why),
+            Ok(Change::Busy) => return Reply::text(503, "another change is in progress"),
+            Err(why) => return save_failed(backend, action, &why),
         }
     }
     let serial = runtime.heed();
     if full {
-        log::error!("operators: {backend} {what}: too many backends are out by hand");
-        return Reply::text(409, "too many workers are out by hand");
+        log::error!("admin: {action} {backend}: too many backends are drained");
+        return Reply::text(409, "too many backends are drained");
     }
-    log::info!(backend; "operators: {backend} {what} by hand");
+    log::info!(backend; "admin: {action} {backend}: done");
     let until = Instant::now() + HEEDING;
     while runtime.others().iter().any(|other| other.heeded < serial) && Instant::now() < until {
         Timer::after(LOOK_AGAIN).await;
     }
-    Reply::text(200, what)
+    Reply::text(200, state)
 }
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one command out on a pooled connection, one reply back.
+//! Runs attempts: sends one command on a pooled connection and reads its reply.
 
 use super::connection::{checkout, Connection};
 use super::Runtime;
@@ -18,19 +18,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A reply that has begun comes on without such a pause. A length may promise more than will
-/// ever come, and the request would wait for it until its client gives up.
+/// Maximum pause within a buffered reply. A stalled attempt ends early enough for a retry before the client's deadline.
 const STALLED: Duration = Duration::from_millis(100);
-/// And one that is passed on without such a one: its client has part of it, and nothing can be asked again.
+/// Maximum pause while a value is relayed in either direction. A relayed transfer cannot be retried.
 const RELAY_STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The part of the room for large answers that one attempt uses.
+
+/// The share of the memory limit for large replies that one attempt uses.
 struct Large<'a> {
     runtime: &'a Runtime,
     bytes: usize,
 }
 
 impl Large<'_> {
-    /// Counts what has come so far, beyond what is reckoned for any value. False if there is no room for it.
+    /// Accounts for `got` bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns false
+    /// if the limit is exceeded.
     fn grown(&mut self, got: usize) -> bool {
         let bytes = got.saturating_sub(MAX_VALUE);
         let all = self.runtime.large.get() - self.bytes + bytes;
@@ -75,7 +76,7 @@
     }
 }
 
-/// What the log tells of an attempt beyond its ending.
+/// Timestamps of an attempt; 0 until the step is reached.
 #[derive(Default)]
 struct AttemptTimings {
     connected: Micros,
@@ -85,43 +86,43 @@
 }
 
 impl AttemptTimings {
-    /// From the command to the first byte of its answer, where a new connection's handshake is not in it.
+    /// Time from the written command to the first byte of the reply; `None` on a new connection.
     fn took(&self) -> Option<Micros> {
         self.first.checked_sub(self.written).filter(|_| !self.new)
     }
 }
 
-/// What an attempt keeps to.
+/// Deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// When it is given up.
+    /// When the attempt times out.
     pub give_up_at: Micros,
-    /// From then on its command may not be written any more.
+    /// Latest time to start writing the command.
     pub begin_by: Micros,
 }
 
-/// One attempt.
+/// One attempt of a request at one server.
 pub struct Attempt {
-    /// Its number.
+    /// Attempt id.
     pub id: AttemptId,
-    /// To whom.
+    /// Server that the command is sent to.
     pub server: ServerId,
-    /// What is sent.
+    /// Command to send.
     pub command: Rc<BackendCommand>,
-    /// What it keeps to.
+    /// Deadlines of the attempt.
     pub deadlines: AttemptDeadlines,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Default)]
 struct Progress {
-    /// The command's last byte was written: on this hangs whether it may have run.
+    /// Set once the last byte of the command was written; the server may have executed it from then on.
     sent: Cell<bool>,
-    /// Its answer is being relayed: no time ends it any more.
+    /// Set once the reply is being relayed; the attempt no longer times out.
     relaying: Cell<bool>,
 }
 
-/// Where an answer is passed on to, once more of it may be; `None` when its client has gone.
+/// Waits until the client can receive more of a relayed reply; `None` if it has left.
 async fn still(runtime: &Runtime, client: Option<ReplySlot>) -> Option<ReplySlot> {
     match client {
         Some(place) if runtime.relay_ready(place).await => Some(place),
@@ -129,7 +130,7 @@
     }
 }
 
-/// Runs one attempt and tells the proxy how it ended.
+/// Runs one attempt and reports its outcome to the proxy.
 pub async fn run(runtime: Rc<Runtime>, attempt: Attempt) {
     let (attempt_id, server, call) = (attempt.id, attempt.server, &attempt.command);
     let begun = runtime.clock.now();
@@ -138,7 +139,7 @@
     let reply = future::or(exchange(&runtime, &attempt, &progress, &mut trace), given_up).await;
     log::debug!(
         attempt_id, server, ending = reply.outcome.name();
-        "attempt {attempt_id} to {server}: {}, {} us, of these {} for a connection, {} to the first byte, new={}",
+        "attempt {attempt_id} to {server}: {}, {} us in total, {} us to connect, {} us to the first byte, new={}",
         reply.outcome.name(),
         runtime.clock.now() - begun,
         trace.connected.saturating_sub(begun),
@@ -149,7 +150,7 @@
         task.detach();
     }
     if let Some(missing) = runtime.missing.as_ref().filter(|_| call.value_len().is_some()) {
-        // A receipt that is given was voided for before; any other write that went out whole may have run.
+        // A served write was invalidated before its receipt. Any other write that was sent may have been executed.
         if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
         {
             missing.add_tombstone(&call.key);
@@ -159,18 +160,17 @@
         0 => 0,
         written => runtime.clock.now().saturating_sub(written),
     });
-    // A transfer must not pass for a jam: what of a large value is still in the sockets when its last byte is written
-    // cannot be told from the origin's time.
+    // Not measured for streamed values: the time would include the transfer of bytes still buffered in the sockets.
     let took = trace.took().filter(|_| call.streamed.is_none() && trace.first > 0);
     let brought = AttemptReply { value: reply.value, took, waited };
     runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, brought));
 }
 
-/// Waits until an attempt is to be given up.
+/// Waits until an attempt times out.
 async fn give_up(runtime: &Runtime, attempt: &Attempt, begun: Micros, progress: &Progress) -> Reply {
     let give_up_at = attempt.deadlines.give_up_at;
     match &attempt.command.streamed {
-        // The client's time runs from its last byte.
+        // The deadline of a streamed write starts when its last byte was received.
         Some(streamed) => {
             streamed.until_whole().await;
             let wait = give_up_at.saturating_sub(begun);
@@ -191,7 +191,7 @@
     })
 }
 
-/// Sends an attempt's command and reads its reply.
+/// Sends an attempt's command and reads the reply.
 async fn exchange(
     runtime: &Rc<Runtime>,
     attempt: &Attempt,
@@ -228,7 +228,7 @@
     if let Err(ending) = runtime.may_begin(attempt.id, (server, process), begin_by) {
         return Reply::without_value(ending);
     }
-    // A value that passes through has longer to come in, and its client waits no longer once it has.
+    // `give_up_at` of a streamed write includes the time to receive the value, so `call.wait` bounds it.
     let wait = give_up_at.saturating_sub(trace.connected).min(call.wait);
     let (bytes, mut decoder) = if is_origin {
         (origin::encode(call, wait, &endpoint.to_string()), Decoder::Origin(origin::Decoder::default()))
@@ -241,7 +241,7 @@
             let tail: &[u8] = if is_origin { b"" } else { b"\r\n" };
             pass_through(&connection, &bytes, streamed, tail, &progress.sent).await
         }
-        // Its bytes are gone: they were sent, or nobody wants them any more.
+        // The value was already sent in part or discarded.
         Some(_) => Err(AttemptOutcome::NotSent),
     };
     if let Err(ending) = written {
@@ -261,13 +261,13 @@
     match (missing, looked, reply.outcome) {
         (Some(missing), Some(looked), AttemptOutcome::Absent) => missing.insert(&call.key, looked),
         (Some(missing), None, AttemptOutcome::Served) => {
-            // Before the receipt goes out, nobody may answer any more that the key is missing.
+            // Before the receipt is returned, no proxy may report the key as missing any more.
             let until = runtime.clock.instant(give_up_at);
             if !missing.invalidate(&call.key, until).await {
                 return Reply::without_value(AttemptOutcome::Errored);
             }
         }
-        // Without the filter a null promises more than a failure: nobody keeps what the origin had.
+        // Without the negative cache, absence cannot be reported: a concurrent write would not invalidate it.
         (None, _, AttemptOutcome::Absent) | (_, None, AttemptOutcome::Absent) => {
             return Reply { outcome: AttemptOutcome::Errored, ..reply }
         }
@@ -277,10 +277,9 @@
 }
 
 impl Runtime {
-    /// Whether an attempt's command may be written now, and how it ends if not. Time has gone by since it was decided
-    /// on: a connection came up or was at rest. Its client may have left meanwhile, its
-    /// request may be over, its backend may have been taken out or restarted, and a repeat may come too late to be known
-    /// for one.
+    /// Checks again whether the command may be written, since getting a connection took time. Returns the outcome of the
+    /// attempt if the client has left, the request is answered, the server was drained or restarted, or `begin_by` has
+    /// passed.
     fn may_begin(
         self: &Rc<Self>,
         attempt_id: AttemptId,
@@ -304,8 +303,8 @@
     }
 }
 
-/// Writes a command whose value passes through. `sent` is set with its last byte and not before: a client that goes
-/// away in the middle has asked for nothing.
+/// Writes a command with a streamed value. Sets `sent` once the last byte is written, so a client that disconnects
+/// before the end of the value has sent no request.
 async fn pass_through(
     connection: &Connection,
     head: &[u8],
@@ -333,7 +332,7 @@
     }
 }
 
-/// Writes the command. `sent` is set with its last byte and not before.
+/// Writes `bytes` and sets `sent` once the last byte is written.
 async fn write(connection: &Connection, mut bytes: &[u8], sent: &Cell<bool>) -> Result<(), AttemptOutcome> {
     while !bytes.is_empty() {
         match connection.io.get_ref().write(bytes) {
@@ -360,7 +359,7 @@
 ) -> Reply {
     let mut buffer = vec![0; MAX_VALUE / 4];
     let (mut got, mut large) = (0, Large { runtime, bytes: 0 });
-    // Where the answer is passed on to, once it is and while its client is there.
+    // The client's reply slot, while a reply is relayed to it.
     let mut client = None;
     loop {
         match connection.io.get_ref().read(&mut buffer) {
@@ -393,7 +392,7 @@
                         ReplyPart::Complete(reply) => return reply,
                     }
                 }
-                // No more is read than its client takes; one that has gone holds nothing up.
+                // Waits for the client to accept more; if it has left, the rest is read without waiting.
                 client = still(runtime, client).await;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, for as long as there are descriptors for them.
+//! Accepts client connections within the descriptor budget.
 
 use super::{serve, Client};
 use crate::net::{lacks_descriptor, Listener};
@@ -11,17 +11,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause before it is tried again to get a descriptor.
+/// Pause between attempts to get a descriptor from the budget.
 const DESCRIPTOR_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// Descriptors are short until nobody has come for so long.
+/// The descriptor shortage ends once no client has connected for this long.
 const CALM: Micros = 20_000;
 
 /// Accepts connections until the task is dropped.
 pub async fn accept(runtime: Rc<Runtime>, listener: Rc<Listener>) {
-    // Since when room is short: of a crowd, none but the first has to wait for those who stay to be asked to go.
+    // Start of the current shortage. It spans consecutive accepts, so that only the first client waits for the stricter
+    // eviction levels.
     let mut short_since = None;
     loop {
-        // A descriptor of the budget first: a connection that could not be served is left to the backlog.
+        // Takes a descriptor before accepting: a connection that cannot be served stays in the backlog.
         let ticket = loop {
             match runtime.client_budget.take() {
                 Some(ticket) => break ticket,
@@ -34,8 +35,8 @@
             }
         };
         runtime.short.set(false);
-        // A front may hold fewer connections than there is room for here: once its own room is full of those that stay it
-        // cannot open another one, and its clients are rejected without a word from here.
+        // A load balancer in front may allow fewer connections than this budget, so idle connections are retired before
+        // the budget is exhausted.
         if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
             runtime.retire_some(None);
         }
@@ -46,7 +47,7 @@
     }
 }
 
-/// Serves a connection that was accepted.
+/// Starts serving an accepted connection.
 pub fn admit(runtime: &Rc<Runtime>, io: Async<TcpStream>, ticket: Ticket) {
     runtime.proxy.borrow_mut().counters.accepted += 1;
     let id = runtime.next_client.get();
@@ -72,7 +73,7 @@
 }
 
 impl Runtime {
-    /// Counts a failure to accept a client, and has a descriptor freed where none was left.
+    /// Counts a failed accept. If descriptors are exhausted, closes an idle connection.
     pub(in crate::wire::driver) fn accept_failed(&self, error: &std::io::Error) {
         let errors = {
             let counters = &mut self.proxy.borrow_mut().counters;
@@ -80,7 +81,7 @@
             counters.accept_errors
         };
         if errors.is_power_of_two() {
-            log::warn!(errors; "acceptor: cannot accept ({errors} times so far): {error}");
+            log::warn!(errors; "acceptor: cannot accept a connection ({errors} times so far): {error}");
         }
         if lacks_descriptor(error) && !self.pools.borrow_mut().evict() {
             self.retire_some(Some(0));
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: one task each, which reads commands and writes answers.
+//! Client connections. Each has one task that reads commands and writes replies.
 
 mod accept;
 mod eviction;
@@ -25,36 +25,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of a relayed answer that may wait for its client before no more of it is read.
+/// Limit on unsent bytes of a relayed reply; above it, no more is read from the server.
 const MAX_UNSENT_RELAYED: usize = MAX_VALUE / 2;
-/// While nothing is read from a client it is looked so often whether it is still there: nothing may begin for one that
-/// left 0.1 s ago.
+/// How often the connection is polled for a disconnect while it is not read. No attempt may start for a client that left
+/// 100 ms ago.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A connection that has carried nothing for so long has no first command on its way any more.
+/// Idle time after which a new connection is assumed to have no first command in flight.
 const FIRST_COMMAND_IN_FLIGHT: Micros = 20_000;
 
 /// One client connection.
 pub struct Client {
     io: Async<TcpStream>,
     session: RefCell<ClientSession>,
-    /// Tells the connection's task that there is something to write, or that it is over.
+    /// Wakes the connection's task when there is output to write or the connection has ended.
     wake: (Sender<()>, Receiver<()>),
     broken: Cell<bool>,
     stalled: Cell<bool>,
     retiring: Cell<bool>,
-    /// When something last came from it or was answered.
+    /// Time of the last input or reply.
     used: Cell<Micros>,
-    /// Since when half a command is there; 0 while there is none.
+    /// Time since which an incomplete command is buffered; 0 if there is none.
     half_since: Cell<Micros>,
-    /// Tells those who pass an answer on that there is room for more of it, or that the connection is over.
+    /// Notified when more of a relayed reply can be accepted, or the connection has ended.
     room: Rc<Event>,
-    /// Bytes of answers that wait on any connection, and this one's part of them.
+    /// Bytes of unsent replies on all connections, and this connection's share.
     unsent: Rc<Cell<usize>>,
     counted: Cell<usize>,
-    /// Bytes of half commands on any connection, and this one's part of them.
+    /// Bytes of incomplete commands on all connections, and this connection's share.
     half_read: Rc<Cell<usize>>,
     counted_half: Cell<usize>,
-    /// When answers last began to wait on it, or some of one was taken off it.
+    /// Time of the last write progress, or when replies last began to queue.
     moved: Cell<Micros>,
 }
 
@@ -66,20 +66,20 @@
 }
 
 impl Client {
-    /// Whether an answer may be passed on now: it is the next one, and little of what went before waits.
+    /// Whether a reply can be relayed now: it is the next one, and the unsent output is below `MAX_UNSENT_RELAYED`.
     fn passes(&self, place: u64) -> bool {
         let session = self.session.borrow();
         session.replies().is_next(place) && session.replies().output().len() < MAX_UNSENT_RELAYED
     }
 
-    /// Whether the client has ended its side, or the connection is broken, whatever of it is unread before that.
+    /// Whether the client has closed its side or the connection is broken, even if input is still unread.
     fn gone(&self) -> bool {
         let mut fds = [PollFd::new(&self.io, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         self.broken.get() || poll(&mut fds, Some(&at_once)).is_ok_and(|n| n > 0)
     }
 
-    /// Waits for something else than the client's next bytes; `None` if it leaves meanwhile.
+    /// Waits for a future; `None` if the client disconnects before it completes.
     async fn while_there<T>(&self, what: impl Future<Output = T>) -> Option<T> {
         let gone = async {
             while !self.gone() {
@@ -90,23 +90,23 @@
         future::or(async { Some(what.await) }, gone).await
     }
 
-    /// Whether it may be closed where no request is open: not if a request may be on its way as its first one.
+    /// Whether the connection can be closed when it has no pending request: false if its first request may be in flight.
     fn settled(&self, now: Micros) -> bool {
         self.session.borrow().commands_received() > 0 || self.used.get() + FIRST_COMMAND_IN_FLIGHT <= now
     }
 
-    /// Has the connection closed once nothing is owed on it.
+    /// Closes the connection once no reply is pending.
     pub fn retire(&self) {
         self.retiring.set(true);
         self.wake();
     }
 
     fn wake(&self) {
-        // Full means that the task is being woken as it is.
+        // A full channel means that a wake-up is already pending.
         let _ = self.wake.0.try_send(());
     }
 
-    /// Brings the counts of waiting bytes and of half commands up to date.
+    /// Updates the counts of unsent bytes and of bytes in incomplete commands.
     fn recount(&self) {
         let (waiting, half) = {
             let session = self.session.borrow();
@@ -133,7 +133,7 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                // A peer that is gone: its task ends, and with it what it asked for.
+                // The client has disconnected; its task ends and cancels its requests.
                 Err(_) => self.broken.set(true),
             }
             break;
@@ -149,12 +149,12 @@
         }
     }
 
-    /// Bytes that have come and are not read yet: a connection with a request in its socket is not closed on it.
+    /// Nonzero if the socket has unread input. Such a connection is not closed as idle.
     fn unread(&self) -> usize {
         self.io.get_ref().peek(&mut [0]).unwrap_or(0)
     }
 
-    /// How the connection has ended, if it has.
+    /// Returns why the connection has ended, or `None` while it is open.
     fn over(&self) -> Option<ConnectionEnd> {
         let session = self.session.borrow();
         if self.broken.get() {
@@ -181,7 +181,8 @@
 }
 
 impl Runtime {
-    /// Waits until an answer may be passed on to its client. False if nobody waits for it any more.
+    /// Waits until a reply can be relayed to its client. Returns false if the client has disconnected or the reply was cut
+    /// off.
     pub(super) async fn relay_ready(&self, slot: ReplySlot) -> bool {
         loop {
             let Some(client) = self.clients.borrow().get(&slot.connection).map(Rc::clone) else {
@@ -193,14 +194,14 @@
             if client.passes(slot.sequence) {
                 return true;
             }
-            // Only the event is held on to: the connection may end meanwhile.
+            // Keeps only the event, so that the connection can end meanwhile.
             let room = Rc::clone(&client.room);
             drop(client);
             room.listen().await;
         }
     }
 
-    /// Whether a client has left. What it was owed is called off then, also where its task has yet to find out.
+    /// Whether a client has disconnected. If so, cancels its requests, even if its task has not noticed yet.
     pub(super) fn client_gone(self: &Rc<Self>, id: u64) -> bool {
         let Some(client) = self.clients.borrow().get(&id).map(Rc::clone) else { return true };
         if !client.gone() {
@@ -212,7 +213,7 @@
         true
     }
 
-    /// Nothing more is read from a client, and none of the answers that it is owed are wanted.
+    /// Closes a client's session and cancels its pending requests.
     fn part(self: &Rc<Self>, id: u64, client: &Client) {
         client.session.borrow_mut().close();
         let places = client.session.borrow().replies().pending_sequences();
@@ -222,8 +223,8 @@
         client.room.notify(usize::MAX);
     }
 
-    /// Has every client connection closed once all that was taken on it is answered. Where nothing new is taken any
-    /// more, nothing but the rest of the command that has begun is read.
+    /// Closes every client connection once its requests are answered. With `nothing_new`, no further command is accepted,
+    /// but one received in part is still completed.
     pub fn retire_clients(&self, nothing_new: bool) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Refuses what was read and has not come to the proxy, such as what waits for room, and reads nothing more.
+    /// Rejects commands that were read but not yet passed to the proxy, and closes all sessions.
     pub(super) fn refuse_rest(&self) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Does something with the session of a client, if it is there, and writes what comes of it.
+    /// Applies `what` to a client's session, if the client is still connected, and writes the resulting output.
     pub(super) fn with_session(&self, slot: ReplySlot, what: impl FnOnce(&mut ClientSession)) {
         let client = self.clients.borrow().get(&slot.connection).map(Rc::clone);
         if let Some(client) = client {
@@ -264,7 +265,7 @@
     log::debug!(client = id, ending = ending.name(); "client {id}: {}", ending.name());
     runtime.count_connection_end(ending);
     runtime.part(id, &client);
-    // One that has left, or takes nothing, has nothing to read.
+    // A client that has left or does not read cannot receive the end of its output.
     if !matches!(ending, ConnectionEnd::ClientLeft | ConnectionEnd::ClientStalled) {
         writer::linger(&runtime, &client).await;
     }
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's commands and takes each one up once there is room for it.
+//! Reads a client's commands and passes each one to the proxy once it can be admitted.
 
 use super::Client;
 use crate::outcome::ConnectionEnd;
@@ -15,23 +15,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER: usize = 16 * 1024;
-/// Answers that one connection may be owed before no more of it is read.
+/// Limit on pending replies of one connection; above it, no further commands are accepted.
 const MAX_PENDING_REPLIES: usize = 64;
-/// Bytes of answers that may wait on one connection before no more of it is read: some clients ask on and on and read
-/// nothing.
+/// Limit on unsent reply bytes of one connection; above it, no further commands are accepted.
 const MAX_UNSENT: usize = 4 * MAX_VALUE;
-/// Pause before a command for which there was no room is tried again.
+/// Pause before the admission of a command is retried.
 const ROOM_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// The longest that a large value may take to come in, if it never pauses for a command's time.
+/// Maximum time to receive a streamed value. A pause within it is limited by the command timeout.
 const STREAMED_VALUE_TIMEOUT: Micros = 60_000_000;
-/// A client is answered so long before its time is over, at the most and as a part of it: an answer on its way then
-/// would come too late.
+/// Time before the client's deadline at which it is answered, so that the answer arrives in time: at most
+/// `REPLY_MARGIN`, and at most one `REPLY_MARGIN_PART`th of the deadline.
 const REPLY_MARGIN: Micros = 10_000;
 const REPLY_MARGIN_PART: Micros = 40;
 
-/// Reads commands. Returns when the client has gone.
+/// Reads commands until the client disconnects.
 pub(super) async fn read(runtime: &Rc<Runtime>, id: u64, client: &Client) -> ConnectionEnd {
     let mut buffer = vec![0; READ_BUFFER];
     let mut read_at = runtime.clock.now();
@@ -64,17 +63,16 @@
             },
             Err(_) => return ConnectionEnd::ClientLeft,
         };
-        // What waits in our buffers for its turn has been read now: its time runs from here.
+        // Deadlines of all commands in this read start here, even if a command waits for admission.
         read_at = runtime.clock.now();
         client.used.set(read_at);
         client.session.borrow_mut().feed(buffer.get(..n).unwrap_or_default());
-        // A client that sends on and on and is answered at once never makes this task wait: timers, signals and other
-        // clients get their turn all the same.
+        // Yields even if the socket never blocks, so that a busy client does not starve other tasks.
         future::yield_now().await;
     }
 }
 
-/// Takes up all commands that have come whole, each once there is room for it.
+/// Passes all complete commands to the proxy, each once it can be admitted.
 async fn take_commands(
     runtime: &Rc<Runtime>,
     id: u64,
@@ -82,7 +80,7 @@
     read_at: Micros,
 ) -> ControlFlow<ConnectionEnd> {
     loop {
-        // A cut would take the requests behind it along: they are left unread until the relayed answer is complete.
+        // If a relayed reply is cut off, the connection closes. Commands behind it are not accepted until it is complete.
         let relayed = client.while_there(async {
             while client.session.borrow().replies().has_relay() {
                 client.room.listen().await;
@@ -92,19 +90,19 @@
             return ControlFlow::Break(ConnectionEnd::ClientLeft);
         }
         let Some(event) = client.session.borrow_mut().next_event() else { return ControlFlow::Continue(()) };
-        // A whole command that waits for room is owed an answer from here on, and is not late.
+        // A complete command that waits for admission does not count as incomplete.
         client.half_since.set(0);
         let room = client.while_there(async {
             while client.has_enough() || !runtime.room() {
                 Timer::after(ROOM_RETRY_PAUSE).await;
             }
         });
-        // Nothing is begun for a client that sent its commands and left.
+        // Commands of a disconnected client are dropped.
         if room.await.is_none() || client.gone() {
             return ControlFlow::Break(ConnectionEnd::ClientLeft);
         }
         match event {
-            // Refused meanwhile: the process ends.
+            // Rejected meanwhile because the process is stopping.
             SessionEvent::Command(place, _) if !client.session.borrow().replies().is_missing(place) => {}
             SessionEvent::Ping(place) => client.session.borrow_mut().pong(place, runtime.ready()),
             SessionEvent::Command(place, call) => {
@@ -114,8 +112,8 @@
     }
 }
 
-/// Whether a large value that is coming in had to wait for the origin, and goes on now. What the origin does not take
-/// yet is not read yet, and that is not the client's doing.
+/// Waits while the buffer of a streamed value is full; returns true if it had to wait. Time spent waiting for the origin
+/// does not count towards the client's command timeout.
 async fn streamed_value_moves(client: &Client) -> ControlFlow<ConnectionEnd, bool> {
     let incoming = client.session.borrow().incoming();
     let Some(streamed) = incoming.filter(|s| s.room() == 0) else { return ControlFlow::Continue(false) };
@@ -126,8 +124,7 @@
     }
 }
 
-/// Waits for the end of a client from which nothing more is read: its answers are still written, and then the connection
-/// is over by itself.
+/// Waits for a client whose session is closing to disconnect. The writer ends the connection after the last reply.
 async fn until_gone(client: &Client) -> ConnectionEnd {
     if client.over().is_none() {
         client.while_there(future::pending::<()>()).await;
@@ -137,13 +134,13 @@
 }
 
 impl Client {
-    /// Whether so much is owed on the connection that no more commands are taken.
+    /// Whether the limits on pending or unsent replies are exceeded.
     fn has_enough(&self) -> bool {
         let session = self.session.borrow();
         session.replies().pending() > MAX_PENDING_REPLIES || session.replies().unsent_bytes() > MAX_UNSENT
     }
 
-    /// Notes since when half a command has been there, if one is.
+    /// Records when the incomplete command, if any, started.
     fn note_half_command(&self, read_at: Micros) {
         let (incoming, half) = {
             let session = self.session.borrow();
@@ -151,7 +148,7 @@
             (incoming, incoming || session.unparsed_bytes() > 0)
         };
         self.half_since.set(match self.half_since.get() {
-            // A large value has its time from piece to piece.
+            // For a streamed value, the timeout restarts with each read.
             since if half && since > 0 && !incoming => since,
             _ if half => read_at,
             _ => 0,
@@ -160,15 +157,15 @@
 }
 
 impl Runtime {
-    /// Whether another request may be taken: each may come to hold a value of the largest size. What is not
-    /// read stays in the sockets, and its clients wait.
+    /// Whether another request can be admitted. Each one, and each [`MAX_VALUE`] of unsent replies, counts as one towards
+    /// the request limit.
     fn room(&self) -> bool {
         self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().taken
     }
 }
 
 fn take(runtime: &Rc<Runtime>, client: &Client, place: ReplySlot, call: BackendCommand, read_at: Micros) {
-    // The client's time runs from its last byte: the attempt sees to that where the value passes through.
+    // A streamed write gets extra time to receive its value; the attempt applies the deadline from the last byte.
     let wait = call.wait.min(runtime.network.max_request_time());
     let wait = wait - REPLY_MARGIN.min(wait / REPLY_MARGIN_PART);
     let wait = if call.streamed.is_some() { wait.saturating_add(STREAMED_VALUE_TIMEOUT) } else { wait };
--- a/proxy/src/wire/driver/client/writer.rs
+++ b/proxy/src/wire/driver/client/writer.rs
@@ -1,4 +1,4 @@
-//! Writes a client's answers, and ends its connection in order.
+//! Writes a client's replies and closes its connection gracefully.
 
 use super::Client;
 use crate::outcome::ConnectionEnd;
@@ -9,15 +9,14 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// A client that takes nothing off its connection for so long is cut off.
+/// Clients that accept no bytes for this long are disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// For so long a connection is kept after the end of our side, for less while others wait for its descriptor, and so
-/// many bytes of it are read on.
+/// Limits of the lingering close: its duration, its duration while descriptors are short, and the bytes to discard.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGER_TIMEOUT_CROWDED: Duration = Duration::from_millis(20);
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
-/// Writes what the socket did not take at once. Returns when the connection is over.
+/// Writes output that the socket did not accept immediately, until the connection ends.
 pub(super) async fn write(runtime: &Runtime, client: &Client) -> ConnectionEnd {
     loop {
         if let Some(ending) = client.over() {
@@ -32,7 +31,7 @@
             Timer::after(STALL_TIMEOUT).await;
             false
         };
-        // Woken while it waits to write: for another answer behind this one, or since it is over.
+        // A wake-up may announce another reply or the end of the connection; only the end stops the wait.
         let woken = async {
             while client.over().is_none() {
                 let _ = client.wake.1.recv().await;
@@ -46,9 +45,8 @@
     }
 }
 
-/// The lingering close of every orderly end: ends the sending, and reads on for a moment what nobody will answer.
-/// A socket that is closed with unread bytes is reset, and what was written to it may be lost: the client would never see
-/// its answer or its error. A request that crosses the end is its client's to send once more.
+/// Lingering close: shuts down the write side and discards input for a short time. Closing a socket with unread bytes
+/// resets it, and the client could lose its last replies. Discarded requests are not answered.
 pub(super) async fn linger(runtime: &Runtime, client: &Client) {
     let _ = client.io.get_ref().shutdown(Shutdown::Write);
     let drain = async {
@@ -59,7 +57,7 @@
                 _ => return,
             }
         }
-        // What is sent beyond that stays in the sockets until the client has had time to read the error.
+        // Further input stays in the socket until the timeout, so that the client can still read its replies.
         future::pending::<()>().await;
     };
     let late = async {
