--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -19,21 +19,21 @@
 use std::time::Duration;
 
 /// Maximum pause within a buffered reply. A stalled attempt ends early enough for a retry before the client's deadline.
-const STALLED: Duration = Duration::from_millis(100);
+const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum pause while a value is relayed in either direction. A relayed transfer cannot be retried.
 const RELAY_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The share of the memory limit for large replies that one attempt uses.
-struct Large<'a> {
+struct LargeReplyShare<'a> {
     runtime: &'a Runtime,
     bytes: usize,
 }
 
-impl Large<'_> {
-    /// Accounts for `got` bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns false
+impl LargeReplyShare<'_> {
+    /// Accounts for the bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns false
     /// if the limit is exceeded.
-    fn grown(&mut self, got: usize) -> bool {
-        let bytes = got.saturating_sub(MAX_VALUE);
+    fn try_grow(&mut self, received: usize) -> bool {
+        let bytes = received.saturating_sub(MAX_VALUE);
         let all = self.runtime.large.get() - self.bytes + bytes;
         self.bytes = bytes;
         self.runtime.large.set(all);
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for Large<'_> {
+impl Drop for LargeReplyShare<'_> {
     fn drop(&mut self) {
         self.runtime.large.set(self.runtime.large.get() - self.bytes);
     }
@@ -87,7 +87,7 @@
 
 impl AttemptTimings {
     /// Time from the written command to the first byte of the reply; `None` on a new connection.
-    fn took(&self) -> Option<Micros> {
+    fn response_time(&self) -> Option<Micros> {
         self.first.checked_sub(self.written).filter(|_| !self.new)
     }
 }
@@ -123,57 +123,57 @@
 }
 
 /// Waits until the client can receive more of a relayed reply; `None` if it has left.
-async fn still(runtime: &Runtime, client: Option<ReplySlot>) -> Option<ReplySlot> {
+async fn await_relay(runtime: &Runtime, client: Option<ReplySlot>) -> Option<ReplySlot> {
     match client {
-        Some(place) if runtime.relay_ready(place).await => Some(place),
+        Some(slot) if runtime.relay_ready(slot).await => Some(slot),
         _ => None,
     }
 }
 
 /// Runs one attempt and reports its outcome to the proxy.
 pub async fn run(runtime: Rc<Runtime>, attempt: Attempt) {
-    let (attempt_id, server, call) = (attempt.id, attempt.server, &attempt.command);
-    let begun = runtime.clock.now();
-    let (progress, mut trace) = (Progress::default(), AttemptTimings::default());
-    let given_up = give_up(&runtime, &attempt, begun, &progress);
-    let reply = future::or(exchange(&runtime, &attempt, &progress, &mut trace), given_up).await;
+    let (attempt_id, server, command) = (attempt.id, attempt.server, &attempt.command);
+    let started_at = runtime.clock.now();
+    let (progress, mut timings) = (Progress::default(), AttemptTimings::default());
+    let timed_out = time_out(&runtime, &attempt, started_at, &progress);
+    let reply = future::or(exchange(&runtime, &attempt, &progress, &mut timings), timed_out).await;
     log::debug!(
         attempt_id, server, ending = reply.outcome.name();
         "attempt {attempt_id} to {server}: {}, {} us in total, {} us to connect, {} us to the first byte, new={}",
         reply.outcome.name(),
-        runtime.clock.now() - begun,
-        trace.connected.saturating_sub(begun),
-        trace.first.saturating_sub(trace.written),
-        trace.new
+        runtime.clock.now() - started_at,
+        timings.connected.saturating_sub(started_at),
+        timings.first.saturating_sub(timings.written),
+        timings.new
     );
-    if let Some(task) = runtime.attempts_out.borrow_mut().remove(&attempt_id) {
+    if let Some(task) = runtime.attempts_in_flight.borrow_mut().remove(&attempt_id) {
         task.detach();
     }
-    if let Some(missing) = runtime.missing.as_ref().filter(|_| call.value_len().is_some()) {
+    if let Some(negative_cache) = runtime.missing.as_ref().filter(|_| command.value_len().is_some()) {
         // A served write was invalidated before its receipt. Any other write that was sent may have been executed.
         if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
         {
-            missing.add_tombstone(&call.key);
+            negative_cache.add_tombstone(&command.key);
         }
     }
-    let waited = call.streamed.as_ref().map(|_| match trace.written {
+    let wait_time = command.streamed.as_ref().map(|_| match timings.written {
         0 => 0,
         written => runtime.clock.now().saturating_sub(written),
     });
     // Not measured for streamed values: the time would include the transfer of bytes still buffered in the sockets.
-    let took = trace.took().filter(|_| call.streamed.is_none() && trace.first > 0);
-    let brought = AttemptReply { value: reply.value, took, waited };
-    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, brought));
+    let response_time = timings.response_time().filter(|_| command.streamed.is_none() && timings.first > 0);
+    let attempt_reply = AttemptReply { value: reply.value, took: response_time, waited: wait_time };
+    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, attempt_reply));
 }
 
 /// Waits until an attempt times out.
-async fn give_up(runtime: &Runtime, attempt: &Attempt, begun: Micros, progress: &Progress) -> Reply {
+async fn time_out(runtime: &Runtime, attempt: &Attempt, started_at: Micros, progress: &Progress) -> Reply {
     let give_up_at = attempt.deadlines.give_up_at;
     match &attempt.command.streamed {
         // The deadline of a streamed write starts when its last byte was received.
         Some(streamed) => {
             streamed.until_whole().await;
-            let wait = give_up_at.saturating_sub(begun);
+            let wait = give_up_at.saturating_sub(started_at);
             let wait = wait.min(attempt.command.wait).min(runtime.network.max_request_time());
             Timer::after(Duration::from_micros(wait)).await;
         }
@@ -196,9 +196,9 @@
     runtime: &Rc<Runtime>,
     attempt: &Attempt,
     progress: &Progress,
-    trace: &mut AttemptTimings,
+    timings: &mut AttemptTimings,
 ) -> Reply {
-    let (server, call) = (attempt.server, &*attempt.command);
+    let (server, command) = (attempt.server, &*attempt.command);
     let AttemptDeadlines { give_up_at, begin_by } = attempt.deadlines;
     let Some((process, is_origin)) = runtime
         .proxy
@@ -210,64 +210,66 @@
     else {
         return Reply::without_value(AttemptOutcome::NotSent);
     };
-    let missing = runtime.missing.as_ref().filter(|_| is_origin);
-    let looked = match missing.filter(|_| call.value_len().is_none()) {
-        Some(missing) => match missing.lookup(&call.key).await {
+    let negative_cache = runtime.missing.as_ref().filter(|_| is_origin);
+    let lookup = match negative_cache.filter(|_| command.value_len().is_none()) {
+        Some(negative_cache) => match negative_cache.lookup(&command.key).await {
             KeyLookup::KnownMissing => return Reply::without_value(AttemptOutcome::Absent),
-            KeyLookup::AskOrigin(looked) => Some(looked),
+            KeyLookup::AskOrigin(lookup) => Some(lookup),
         },
         None => None,
     };
     let generation = runtime.pools.borrow_mut().generation(server);
     let endpoint = process.0;
-    let connection = match checkout(runtime, server, endpoint, &mut trace.new).await {
+    let connection = match checkout(runtime, server, endpoint, &mut timings.new).await {
         Ok(connection) => connection,
-        Err(ending) => return Reply::without_value(ending),
+        Err(outcome) => return Reply::without_value(outcome),
     };
-    trace.connected = runtime.clock.now();
-    if let Err(ending) = runtime.may_begin(attempt.id, (server, process), begin_by) {
-        return Reply::without_value(ending);
+    timings.connected = runtime.clock.now();
+    if let Err(outcome) = runtime.check_before_write(attempt.id, (server, process), begin_by) {
+        return Reply::without_value(outcome);
     }
-    // `give_up_at` of a streamed write includes the time to receive the value, so `call.wait` bounds it.
-    let wait = give_up_at.saturating_sub(trace.connected).min(call.wait);
+    // `give_up_at` of a streamed write includes the time to receive the value, so `command.wait` bounds it.
+    let wait = give_up_at.saturating_sub(timings.connected).min(command.wait);
     let (bytes, mut decoder) = if is_origin {
-        (origin::encode(call, wait, &endpoint.to_string()), Decoder::Origin(origin::Decoder::default()))
+        (origin::encode(command, wait, &endpoint.to_string()), Decoder::Origin(origin::Decoder::default()))
     } else {
-        (backend::encode(call, wait), Decoder::Backend(backend::Decoder::default()))
+        (backend::encode(command, wait), Decoder::Backend(backend::Decoder::default()))
     };
-    let written = match &call.streamed {
+    let written = match &command.streamed {
         None => write(&connection, &bytes, &progress.sent).await,
         Some(streamed) if streamed.untouched() => {
             let tail: &[u8] = if is_origin { b"" } else { b"\r\n" };
-            pass_through(&connection, &bytes, streamed, tail, &progress.sent).await
+            write_streamed(&connection, &bytes, streamed, tail, &progress.sent).await
         }
         // The value was already sent in part or discarded.
         Some(_) => Err(AttemptOutcome::NotSent),
     };
-    if let Err(ending) = written {
-        return Reply::without_value(ending);
+    if let Err(outcome) = written {
+        return Reply::without_value(outcome);
     }
     runtime.proxy.borrow_mut().counters.attempts += 1;
     drop(bytes);
-    trace.written = runtime.clock.now();
-    let reply = read(runtime, &connection, &mut decoder, attempt.id, progress, trace).await;
-    if trace.first > 0 {
+    timings.written = runtime.clock.now();
+    let reply = read(runtime, &connection, &mut decoder, attempt.id, progress, timings).await;
+    if timings.first > 0 {
         runtime.reachability.borrow_mut().reached(endpoint);
     }
     if reply.reusable {
         let now = runtime.clock.now();
         runtime.pools.borrow_mut().put(now, server, generation, connection);
     }
-    match (missing, looked, reply.outcome) {
-        (Some(missing), Some(looked), AttemptOutcome::Absent) => missing.insert(&call.key, looked),
-        (Some(missing), None, AttemptOutcome::Served) => {
+    match (negative_cache, lookup, reply.outcome) {
+        (Some(negative_cache), Some(lookup), AttemptOutcome::Absent) => {
+            negative_cache.insert(&command.key, lookup)
+        }
+        (Some(negative_cache), None, AttemptOutcome::Served) => {
             // Before the receipt is returned, no proxy may report the key as missing any more.
             let until = runtime.clock.instant(give_up_at);
-            if !missing.invalidate(&call.key, until).await {
+            if !negative_cache.invalidate(&command.key, until).await {
                 return Reply::without_value(AttemptOutcome::Errored);
             }
         }
-        // Without the negative cache, absence cannot be reported: a concurrent write would not invalidate it.
+        // A 404 is a failure unless it answers a read that the negative cache covers.
         (None, _, AttemptOutcome::Absent) | (_, None, AttemptOutcome::Absent) => {
             return Reply { outcome: AttemptOutcome::Errored, ..reply }
         }
@@ -280,7 +282,7 @@
     /// Checks again whether the command may be written, since getting a connection took time. Returns the outcome of the
     /// attempt if the client has left, the request is answered, the server was drained or restarted, or `begin_by` has
     /// passed.
-    fn may_begin(
+    fn check_before_write(
         self: &Rc<Self>,
         attempt_id: AttemptId,
         (server, process): (ServerId, (SocketAddr, Micros)),
@@ -292,7 +294,7 @@
             (backend.is_some(), proxy.awaited(attempt_id))
         };
         match awaited {
-            Some(slot) if !self.client_gone(slot.connection) => {}
+            Some(slot) if !self.client_has_left(slot.connection) => {}
             _ => return Err(AttemptOutcome::Cancelled),
         }
         if unchanged && self.clock.now() < begin_by {
@@ -305,7 +307,7 @@
 
 /// Writes a command with a streamed value. Sets `sent` once the last byte is written, so a client that disconnects
 /// before the end of the value has sent no request.
-async fn pass_through(
+async fn write_streamed(
     connection: &Connection,
     head: &[u8],
     streamed: &StreamedValue,
@@ -321,10 +323,10 @@
         };
         future::or(write(connection, &bytes, &unfinished), stalled).await?;
         bytes = loop {
-            let change = streamed.change_of();
+            let changed = streamed.change_of();
             match streamed.next() {
                 NextChunk::Bytes(bytes) => break bytes,
-                NextChunk::Wait => change.await,
+                NextChunk::Wait => changed.await,
                 NextChunk::End => return write(connection, tail, sent).await,
                 NextChunk::Aborted => return Err(AttemptOutcome::NotSent),
             }
@@ -355,60 +357,60 @@
     decoder: &mut Decoder,
     attempt_id: AttemptId,
     progress: &Progress,
-    trace: &mut AttemptTimings,
+    timings: &mut AttemptTimings,
 ) -> Reply {
     let mut buffer = vec![0; MAX_VALUE / 4];
-    let (mut got, mut large) = (0, Large { runtime, bytes: 0 });
+    let (mut received, mut large_share) = (0, LargeReplyShare { runtime, bytes: 0 });
     // The client's reply slot, while a reply is relayed to it.
     let mut client = None;
     loop {
         match connection.io.get_ref().read(&mut buffer) {
             Ok(0) => return decoder.closed(),
             Ok(n) => {
-                if got == 0 {
-                    trace.first = runtime.clock.now();
+                if received == 0 {
+                    timings.first = runtime.clock.now();
                 }
-                got += n;
-                if !progress.relaying.get() && !large.grown(got) {
+                received += n;
+                if !progress.relaying.get() && !large_share.try_grow(received) {
                     return Reply::without_value(AttemptOutcome::NoCapacity);
                 }
-                for piece in decoder.feed(buffer.get(..n).unwrap_or_default()) {
-                    match piece {
+                for part in decoder.feed(buffer.get(..n).unwrap_or_default()) {
+                    match part {
                         ReplyPart::ValueStart(length) => {
                             progress.relaying.set(true);
-                            let took = trace.took();
-                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, took));
-                            client = still(runtime, client).await;
-                            if let Some(place) = client {
+                            let response_time = timings.response_time();
+                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, response_time));
+                            client = await_relay(runtime, client).await;
+                            if let Some(slot) = client {
                                 runtime
-                                    .with_session(place, |session| session.replies_mut().begin_relay(length));
+                                    .with_session(slot, |session| session.replies_mut().begin_relay(length));
                             }
                         }
                         ReplyPart::ValueData(data) => {
-                            if let Some(place) = client {
-                                runtime.with_session(place, |session| session.replies_mut().relay(&data));
+                            if let Some(slot) = client {
+                                runtime.with_session(slot, |session| session.replies_mut().relay(&data));
                             }
                         }
                         ReplyPart::Complete(reply) => return reply,
                     }
                 }
                 // Waits for the client to accept more; if it has left, the rest is read without waiting.
-                client = still(runtime, client).await;
+                client = await_relay(runtime, client).await;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 let stalled = async {
                     match decoder.has_partial_reply() {
                         _ if progress.relaying.get() => Timer::after(RELAY_STALL_TIMEOUT).await,
-                        true => Timer::after(STALLED).await,
+                        true => Timer::after(STALL_TIMEOUT).await,
                         false => future::pending().await,
                     };
                     Some(AttemptOutcome::Garbled)
                 };
                 let readable =
                     async { connection.io.readable().await.err().map(|_| AttemptOutcome::BrokenSent) };
-                if let Some(ending) = future::or(readable, stalled).await {
-                    return Reply::without_value(ending);
+                if let Some(outcome) = future::or(readable, stalled).await {
+                    return Reply::without_value(outcome);
                 }
             }
             Err(_) => return Reply::without_value(AttemptOutcome::BrokenSent),
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -14,13 +14,13 @@
 /// Pause between attempts to get a descriptor from the budget.
 const DESCRIPTOR_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// The descriptor shortage ends once no client has connected for this long.
-const CALM: Micros = 20_000;
+const SHORTAGE_RESET_US: Micros = 20_000;
 
 /// Accepts connections until the task is dropped.
 pub async fn accept(runtime: Rc<Runtime>, listener: Rc<Listener>) {
     // Start of the current shortage. It spans consecutive accepts, so that only the first client waits for the stricter
     // eviction levels.
-    let mut short_since = None;
+    let mut shortage_since = None;
     loop {
         // Takes a descriptor before accepting: a connection that cannot be served stays in the backlog.
         let ticket = loop {
@@ -29,7 +29,7 @@
                 None => {
                     runtime.short.set(true);
                     let now = runtime.clock.now();
-                    runtime.retire_some(Some(now.saturating_sub(*short_since.get_or_insert(now))));
+                    runtime.retire_idle(Some(now.saturating_sub(*shortage_since.get_or_insert(now))));
                     Timer::after(DESCRIPTOR_RETRY_PAUSE).await;
                 }
             }
@@ -38,11 +38,11 @@
         // A load balancer in front may allow fewer connections than this budget, so idle connections are retired before
         // the budget is exhausted.
         if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
-            runtime.retire_some(None);
+            runtime.retire_idle(None);
         }
-        let free_since = runtime.clock.now();
+        let accepting_since = runtime.clock.now();
         let io = listener.accept(|error| runtime.accept_failed(error)).await;
-        short_since = short_since.filter(|_| free_since + CALM > runtime.clock.now());
+        shortage_since = shortage_since.filter(|_| accepting_since + SHORTAGE_RESET_US > runtime.clock.now());
         admit(&runtime, io, ticket);
     }
 }
@@ -59,14 +59,14 @@
         broken: Cell::new(false),
         stalled: Cell::new(false),
         retiring: Cell::new(false),
-        used: Cell::new(runtime.clock.now()),
-        half_since: Cell::new(0),
-        room: Rc::default(),
+        last_active: Cell::new(runtime.clock.now()),
+        partial_since: Cell::new(0),
+        relay_ready: Rc::default(),
         unsent: Rc::clone(&runtime.unsent),
-        counted: Cell::new(0),
+        unsent_share: Cell::new(0),
         half_read: Rc::clone(&runtime.half_read),
-        counted_half: Cell::new(0),
-        moved: Cell::new(0),
+        partial_share: Cell::new(0),
+        last_progress: Cell::new(0),
     });
     runtime.clients.borrow_mut().insert(id, Rc::clone(&client));
     runtime.spawn(serve(Rc::clone(runtime), id, client, ticket));
@@ -84,7 +84,7 @@
             log::warn!(errors; "acceptor: cannot accept a connection ({errors} times so far): {error}");
         }
         if lacks_descriptor(error) && !self.pools.borrow_mut().evict() {
-            self.retire_some(Some(0));
+            self.retire_idle(Some(0));
         }
     }
 }
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -20,7 +20,7 @@
 const FIRST_BYTE_TIMEOUT_WITH_ROOM: Micros = 500_000;
 /// After a shortage of this duration, connections with one command may be closed once idle for `MIN_IDLE_TIME`; after
 /// ten times this duration, any connection may.
-const SHUT_OUT: Micros = 20_000;
+const SHORTAGE_ESCALATION_US: Micros = 20_000;
 const MIN_IDLE_TIME: Micros = 100_000;
 /// Maximum number of connections closed per call.
 const MAX_RETIRED_AT_ONCE: usize = 8;
@@ -28,24 +28,27 @@
 impl Runtime {
     /// Closes the client connections that have been idle for longest. The required idle time depends on how long
     /// descriptors have been short; `short_for` is `None` while some are left.
-    pub(in crate::wire::driver) fn retire_some(&self, short_for: Option<Micros>) {
+    pub(in crate::wire::driver) fn retire_idle(&self, short_for: Option<Micros>) {
         let (clients, now) = (self.clients.borrow(), self.clock.now());
         let idle = clients.values().filter(|c| {
             let session = c.session.borrow();
-            let least = match (session.unparsed_bytes(), session.commands_received()) {
+            let min_idle = match (session.unparsed_bytes(), session.commands_received()) {
                 (0, 0) if short_for.is_none() => FIRST_BYTE_TIMEOUT_WITH_ROOM,
                 (0, 0) => FIRST_BYTE_TIMEOUT,
-                (0, 1) if short_for.is_none_or(|t| t >= SHUT_OUT) => MIN_IDLE_TIME,
-                (0, _) if short_for.is_some_and(|t| t >= 10 * SHUT_OUT) => MIN_IDLE_TIME,
+                (0, 1) if short_for.is_none_or(|t| t >= SHORTAGE_ESCALATION_US) => MIN_IDLE_TIME,
+                (0, _) if short_for.is_some_and(|t| t >= 10 * SHORTAGE_ESCALATION_US) => MIN_IDLE_TIME,
                 (0, _) => IDLE_TIMEOUT,
                 _ => HALF_COMMAND_TIMEOUT,
             };
             // Unread input excludes a connection: after a stall of this process all clients look idle.
-            !c.retiring.get() && !session.replies().busy() && c.used.get() + least <= now && c.unread() == 0
+            !c.retiring.get()
+                && !session.replies().busy()
+                && c.last_active.get() + min_idle <= now
+                && c.unread_bytes() == 0
         });
         let mut idle: Vec<_> =
-            idle.map(|c| (c.session.borrow().commands_received().min(2), c.used.get(), c)).collect();
-        idle.sort_unstable_by_key(|&(asked, used, _)| (asked, used));
+            idle.map(|c| (c.session.borrow().commands_received().min(2), c.last_active.get(), c)).collect();
+        idle.sort_unstable_by_key(|&(commands, used, _)| (commands, used));
         for (_, _, client) in idle.into_iter().take(MAX_RETIRED_AT_ONCE) {
             // A command received in part is dropped; the client can send it again on another connection.
             client.session.borrow_mut().close();
@@ -55,18 +58,18 @@
 
     /// Closes the connections whose clients exceeded `COMMAND_TIMEOUT`.
     pub(in crate::wire::driver) fn expire_clients(self: &Rc<Self>) {
-        let (now, mut late_places) = (self.clock.now(), Vec::new());
+        let (now, mut late_slots) = (self.clock.now(), Vec::new());
         for (&id, client) in self.clients.borrow().iter() {
             let session = client.session.borrow();
-            let since = match client.half_since.get() {
+            let since = match client.partial_since.get() {
                 0 if session.commands_received() > 0 || session.unparsed_bytes() > 0 => continue,
-                0 => client.used.get(),
+                0 => client.last_active.get(),
                 since => since,
             };
             let late = session.is_reading() && since + COMMAND_TIMEOUT <= now;
             drop(session);
             if late {
-                late_places.extend(
+                late_slots.extend(
                     client
                         .session
                         .borrow()
@@ -79,20 +82,20 @@
             }
         }
         // Their commands are incomplete and need no answer from the proxy.
-        for place in late_places {
-            self.drive(|proxy, now| proxy.left(now, place));
+        for slot in late_slots {
+            self.drive(|proxy, now| proxy.left(now, slot));
         }
     }
 
     /// Disconnects clients that do not read their replies while unsent replies use at least half of the request limit.
     /// Otherwise a few such clients would block all new requests.
-    pub(in crate::wire::driver) fn cut_off_stalled(&self) {
+    pub(in crate::wire::driver) fn disconnect_stalled(&self) {
         if self.unsent.get() / MAX_VALUE * 2 < self.room.get().taken {
             return;
         }
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
-            if client.counted.get() > 0 && client.moved.get() + CROWDED_STALL_TIMEOUT <= now {
+            if client.unsent_share.get() > 0 && client.last_progress.get() + CROWDED_STALL_TIMEOUT <= now {
                 client.stalled.set(true);
                 client.wake();
             }
@@ -100,12 +103,12 @@
     }
 
     /// Closes the connections with the oldest incomplete commands until these fit into their memory limit.
-    pub(super) fn evict_half_read(&self) {
+    pub(super) fn evict_partial_commands(&self) {
         while self.half_read.get() > self.room.get().half_read {
             let clients = self.clients.borrow();
             // Complete commands that wait for admission are excluded.
-            let half = clients.values().filter(|c| c.counted_half.get() > 0 && c.half_since.get() > 0);
-            let Some(oldest) = half.min_by_key(|c| c.half_since.get()) else { return };
+            let partial = clients.values().filter(|c| c.partial_share.get() > 0 && c.partial_since.get() > 0);
+            let Some(oldest) = partial.min_by_key(|c| c.partial_since.get()) else { return };
             oldest.session.borrow_mut().evict_half_read();
             oldest.flush(self.clock.now());
             oldest.wake();
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -43,56 +43,57 @@
     stalled: Cell<bool>,
     retiring: Cell<bool>,
     /// Time of the last input or reply.
-    used: Cell<Micros>,
+    last_active: Cell<Micros>,
     /// Time since which an incomplete command is buffered; 0 if there is none.
-    half_since: Cell<Micros>,
+    partial_since: Cell<Micros>,
     /// Notified when more of a relayed reply can be accepted, or the connection has ended.
-    room: Rc<Event>,
+    relay_ready: Rc<Event>,
     /// Bytes of unsent replies on all connections, and this connection's share.
     unsent: Rc<Cell<usize>>,
-    counted: Cell<usize>,
+    unsent_share: Cell<usize>,
     /// Bytes of incomplete commands on all connections, and this connection's share.
     half_read: Rc<Cell<usize>>,
-    counted_half: Cell<usize>,
+    partial_share: Cell<usize>,
     /// Time of the last write progress, or when replies last began to queue.
-    moved: Cell<Micros>,
+    last_progress: Cell<Micros>,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.unsent.set(self.unsent.get().saturating_sub(self.counted.get()));
-        self.half_read.set(self.half_read.get().saturating_sub(self.counted_half.get()));
+        self.unsent.set(self.unsent.get().saturating_sub(self.unsent_share.get()));
+        self.half_read.set(self.half_read.get().saturating_sub(self.partial_share.get()));
     }
 }
 
 impl Client {
     /// Whether a reply can be relayed now: it is the next one, and the unsent output is below `MAX_UNSENT_RELAYED`.
-    fn passes(&self, place: u64) -> bool {
+    fn can_relay(&self, sequence: u64) -> bool {
         let session = self.session.borrow();
-        session.replies().is_next(place) && session.replies().output().len() < MAX_UNSENT_RELAYED
+        session.replies().is_next(sequence) && session.replies().output().len() < MAX_UNSENT_RELAYED
     }
 
     /// Whether the client has closed its side or the connection is broken, even if input is still unread.
-    fn gone(&self) -> bool {
+    fn has_left(&self) -> bool {
         let mut fds = [PollFd::new(&self.io, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         self.broken.get() || poll(&mut fds, Some(&at_once)).is_ok_and(|n| n > 0)
     }
 
     /// Waits for a future; `None` if the client disconnects before it completes.
-    async fn while_there<T>(&self, what: impl Future<Output = T>) -> Option<T> {
-        let gone = async {
-            while !self.gone() {
+    async fn unless_left<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let left = async {
+            while !self.has_left() {
                 Timer::after(PRESENCE_CHECK_INTERVAL).await;
             }
             None
         };
-        future::or(async { Some(what.await) }, gone).await
+        future::or(async { Some(future.await) }, left).await
     }
 
     /// Whether the connection can be closed when it has no pending request: false if its first request may be in flight.
-    fn settled(&self, now: Micros) -> bool {
-        self.session.borrow().commands_received() > 0 || self.used.get() + FIRST_COMMAND_IN_FLIGHT <= now
+    fn can_close_idle(&self, now: Micros) -> bool {
+        self.session.borrow().commands_received() > 0
+            || self.last_active.get() + FIRST_COMMAND_IN_FLIGHT <= now
     }
 
     /// Closes the connection once no reply is pending.
@@ -107,28 +108,28 @@
     }
 
     /// Updates the counts of unsent bytes and of bytes in incomplete commands.
-    fn recount(&self) {
-        let (waiting, half) = {
+    fn update_shares(&self) {
+        let (waiting, partial) = {
             let session = self.session.borrow();
             (session.replies().unsent_bytes(), session.unparsed_bytes())
         };
-        let others = self.unsent.get().saturating_sub(self.counted.replace(waiting));
+        let others = self.unsent.get().saturating_sub(self.unsent_share.replace(waiting));
         self.unsent.set(others + waiting);
-        let others = self.half_read.get().saturating_sub(self.counted_half.replace(half));
-        self.half_read.set(others + half);
+        let others = self.half_read.get().saturating_sub(self.partial_share.replace(partial));
+        self.half_read.set(others + partial);
     }
 
     fn flush(&self, now: Micros) {
         let mut session = self.session.borrow_mut();
-        if self.counted.get() == 0 {
-            self.moved.set(now);
+        if self.unsent_share.get() == 0 {
+            self.last_progress.set(now);
         }
         while !session.replies().output().is_empty() {
             match self.io.get_ref().write(session.replies().output()) {
                 Ok(0) => self.broken.set(true),
                 Ok(n) => {
                     session.replies_mut().mark_written(n);
-                    self.moved.set(now);
+                    self.last_progress.set(now);
                     continue;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -138,24 +139,24 @@
             }
             break;
         }
-        let room = session.replies().output().len() < MAX_UNSENT_RELAYED;
+        let can_relay = session.replies().output().len() < MAX_UNSENT_RELAYED;
         drop(session);
-        if room {
-            self.room.notify(usize::MAX);
+        if can_relay {
+            self.relay_ready.notify(usize::MAX);
         }
-        self.recount();
-        if self.over().is_some() || !self.session.borrow().replies().output().is_empty() {
+        self.update_shares();
+        if self.end().is_some() || !self.session.borrow().replies().output().is_empty() {
             self.wake();
         }
     }
 
     /// Nonzero if the socket has unread input. Such a connection is not closed as idle.
-    fn unread(&self) -> usize {
+    fn unread_bytes(&self) -> usize {
         self.io.get_ref().peek(&mut [0]).unwrap_or(0)
     }
 
     /// Returns why the connection has ended, or `None` while it is open.
-    fn over(&self) -> Option<ConnectionEnd> {
+    fn end(&self) -> Option<ConnectionEnd> {
         let session = self.session.borrow();
         if self.broken.get() {
             Some(ConnectionEnd::ClientLeft)
@@ -171,7 +172,7 @@
         } else if self.retiring.get()
             && !session.replies().busy()
             && session.unparsed_bytes() == 0
-            && self.unread() == 0
+            && self.unread_bytes() == 0
         {
             Some(ConnectionEnd::ClosedIdle)
         } else {
@@ -191,54 +192,54 @@
             if client.session.borrow().replies().was_cut() {
                 return false;
             }
-            if client.passes(slot.sequence) {
+            if client.can_relay(slot.sequence) {
                 return true;
             }
             // Keeps only the event, so that the connection can end meanwhile.
-            let room = Rc::clone(&client.room);
+            let relay_ready = Rc::clone(&client.relay_ready);
             drop(client);
-            room.listen().await;
+            relay_ready.listen().await;
         }
     }
 
     /// Whether a client has disconnected. If so, cancels its requests, even if its task has not noticed yet.
-    pub(super) fn client_gone(self: &Rc<Self>, id: u64) -> bool {
+    pub(super) fn client_has_left(self: &Rc<Self>, id: u64) -> bool {
         let Some(client) = self.clients.borrow().get(&id).map(Rc::clone) else { return true };
-        if !client.gone() {
+        if !client.has_left() {
             return false;
         }
         client.broken.set(true);
         client.wake();
-        self.part(id, &client);
+        self.cancel_requests(id, &client);
         true
     }
 
     /// Closes a client's session and cancels its pending requests.
-    fn part(self: &Rc<Self>, id: u64, client: &Client) {
+    fn cancel_requests(self: &Rc<Self>, id: u64, client: &Client) {
         client.session.borrow_mut().close();
-        let places = client.session.borrow().replies().pending_sequences();
-        for place in places {
-            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence: place }));
+        let sequences = client.session.borrow().replies().pending_sequences();
+        for sequence in sequences {
+            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence }));
         }
-        client.room.notify(usize::MAX);
+        client.relay_ready.notify(usize::MAX);
     }
 
-    /// Closes every client connection once its requests are answered. With `nothing_new`, no further command is accepted,
-    /// but one received in part is still completed.
-    pub fn retire_clients(&self, nothing_new: bool) {
+    /// Closes every client connection once its requests are answered. With `no_new_commands`, no further command is
+    /// accepted, but one received in part is still completed.
+    pub fn retire_clients(&self, no_new_commands: bool) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
-            if nothing_new {
+            if no_new_commands {
                 client.session.borrow_mut().finish();
             }
-            if nothing_new || client.settled(now) {
+            if no_new_commands || client.can_close_idle(now) {
                 client.retire();
             }
         }
     }
 
     /// Rejects commands that were read but not yet passed to the proxy, and closes all sessions.
-    pub(super) fn refuse_rest(&self) {
+    pub(super) fn reject_unadmitted(&self) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
             let refused = client.session.borrow_mut().refuse_rest();
@@ -249,12 +250,12 @@
     }
 
     /// Applies `what` to a client's session, if the client is still connected, and writes the resulting output.
-    pub(super) fn with_session(&self, slot: ReplySlot, what: impl FnOnce(&mut ClientSession)) {
+    pub(super) fn with_session(&self, slot: ReplySlot, apply: impl FnOnce(&mut ClientSession)) {
         let client = self.clients.borrow().get(&slot.connection).map(Rc::clone);
         if let Some(client) = client {
             let now = self.clock.now();
-            client.used.set(now);
-            what(&mut client.session.borrow_mut());
+            client.last_active.set(now);
+            apply(&mut client.session.borrow_mut());
             client.flush(now);
         }
     }
@@ -264,7 +265,7 @@
     let ending = future::or(writer::write(&runtime, &client), reader::read(&runtime, id, &client)).await;
     log::debug!(client = id, ending = ending.name(); "client {id}: {}", ending.name());
     runtime.count_connection_end(ending);
-    runtime.part(id, &client);
+    runtime.cancel_requests(id, &client);
     // A client that has left or does not read cannot receive the end of its output.
     if !matches!(ending, ConnectionEnd::ClientLeft | ConnectionEnd::ClientStalled) {
         writer::linger(&runtime, &client).await;
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -20,25 +20,25 @@
 /// Limit on pending replies of one connection; above it, no further commands are accepted.
 const MAX_PENDING_REPLIES: usize = 64;
 /// Limit on unsent reply bytes of one connection; above it, no further commands are accepted.
-const MAX_UNSENT: usize = 4 * MAX_VALUE;
+const MAX_UNSENT_BYTES: usize = 4 * MAX_VALUE;
 /// Pause before the admission of a command is retried.
 const ROOM_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// Maximum time to receive a streamed value. A pause within it is limited by the command timeout.
 const STREAMED_VALUE_TIMEOUT: Micros = 60_000_000;
 /// Time before the client's deadline at which it is answered, so that the answer arrives in time: at most
-/// `REPLY_MARGIN`, and at most one `REPLY_MARGIN_PART`th of the deadline.
+/// `REPLY_MARGIN`, and at most the deadline divided by `REPLY_MARGIN_DIVISOR`.
 const REPLY_MARGIN: Micros = 10_000;
-const REPLY_MARGIN_PART: Micros = 40;
+const REPLY_MARGIN_DIVISOR: Micros = 40;
 
 /// Reads commands until the client disconnects.
 pub(super) async fn read(runtime: &Rc<Runtime>, id: u64, client: &Client) -> ConnectionEnd {
     let mut buffer = vec![0; READ_BUFFER];
     let mut read_at = runtime.clock.now();
     loop {
-        if let ControlFlow::Break(ending) = take_commands(runtime, id, client, read_at).await {
+        if let ControlFlow::Break(ending) = admit_commands(runtime, id, client, read_at).await {
             return ending;
         }
-        match streamed_value_moves(client).await {
+        match wait_for_stream_buffer(client).await {
             ControlFlow::Break(ending) => return ending,
             ControlFlow::Continue(true) => {
                 read_at = runtime.clock.now();
@@ -46,14 +46,14 @@
             }
             ControlFlow::Continue(false) => {}
         }
-        client.note_half_command(read_at);
+        client.update_partial_since(read_at);
         client.flush(runtime.clock.now());
-        runtime.evict_half_read();
+        runtime.evict_partial_commands();
         if !client.session.borrow().is_reading() {
-            return until_gone(client).await;
+            return wait_for_disconnect(client).await;
         }
-        let most = client.session.borrow().max_read_bytes().min(buffer.len());
-        let n = match client.io.get_ref().read(buffer.get_mut(..most).unwrap_or_default()) {
+        let max = client.session.borrow().max_read_bytes().min(buffer.len());
+        let n = match client.io.get_ref().read(buffer.get_mut(..max).unwrap_or_default()) {
             Ok(0) => return ConnectionEnd::ClientLeft,
             Ok(n) => n,
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -65,7 +65,7 @@
         };
         // Deadlines of all commands in this read start here, even if a command waits for admission.
         read_at = runtime.clock.now();
-        client.used.set(read_at);
+        client.last_active.set(read_at);
         client.session.borrow_mut().feed(buffer.get(..n).unwrap_or_default());
         // Yields even if the socket never blocks, so that a busy client does not starve other tasks.
         future::yield_now().await;
@@ -73,7 +73,7 @@
 }
 
 /// Passes all complete commands to the proxy, each once it can be admitted.
-async fn take_commands(
+async fn admit_commands(
     runtime: &Rc<Runtime>,
     id: u64,
     client: &Client,
@@ -81,32 +81,33 @@
 ) -> ControlFlow<ConnectionEnd> {
     loop {
         // If a relayed reply is cut off, the connection closes. Commands behind it are not accepted until it is complete.
-        let relayed = client.while_there(async {
+        let relay_done = client.unless_left(async {
             while client.session.borrow().replies().has_relay() {
-                client.room.listen().await;
+                client.relay_ready.listen().await;
             }
         });
-        if relayed.await.is_none() {
+        if relay_done.await.is_none() {
             return ControlFlow::Break(ConnectionEnd::ClientLeft);
         }
         let Some(event) = client.session.borrow_mut().next_event() else { return ControlFlow::Continue(()) };
         // A complete command that waits for admission does not count as incomplete.
-        client.half_since.set(0);
-        let room = client.while_there(async {
-            while client.has_enough() || !runtime.room() {
+        client.partial_since.set(0);
+        let admissible = client.unless_left(async {
+            while client.reply_limit_exceeded() || !runtime.can_admit() {
                 Timer::after(ROOM_RETRY_PAUSE).await;
             }
         });
         // Commands of a disconnected client are dropped.
-        if room.await.is_none() || client.gone() {
+        if admissible.await.is_none() || client.has_left() {
             return ControlFlow::Break(ConnectionEnd::ClientLeft);
         }
         match event {
             // Rejected meanwhile because the process is stopping.
-            SessionEvent::Command(place, _) if !client.session.borrow().replies().is_missing(place) => {}
-            SessionEvent::Ping(place) => client.session.borrow_mut().pong(place, runtime.ready()),
-            SessionEvent::Command(place, call) => {
-                take(runtime, client, ReplySlot { connection: id, sequence: place }, *call, read_at);
+            SessionEvent::Command(sequence, _) if !client.session.borrow().replies().is_missing(sequence) => {
+            }
+            SessionEvent::Ping(sequence) => client.session.borrow_mut().pong(sequence, runtime.ready()),
+            SessionEvent::Command(sequence, command) => {
+                admit(runtime, client, ReplySlot { connection: id, sequence }, *command, read_at);
             }
         }
     }
@@ -114,20 +115,20 @@
 
 /// Waits while the buffer of a streamed value is full; returns true if it had to wait. Time spent waiting for the origin
 /// does not count towards the client's command timeout.
-async fn streamed_value_moves(client: &Client) -> ControlFlow<ConnectionEnd, bool> {
+async fn wait_for_stream_buffer(client: &Client) -> ControlFlow<ConnectionEnd, bool> {
     let incoming = client.session.borrow().incoming();
     let Some(streamed) = incoming.filter(|s| s.room() == 0) else { return ControlFlow::Continue(false) };
-    client.half_since.set(0);
-    match client.while_there(streamed.change_of()).await {
+    client.partial_since.set(0);
+    match client.unless_left(streamed.change_of()).await {
         Some(()) => ControlFlow::Continue(true),
         None => ControlFlow::Break(ConnectionEnd::ClientLeft),
     }
 }
 
 /// Waits for a client whose session is closing to disconnect. The writer ends the connection after the last reply.
-async fn until_gone(client: &Client) -> ConnectionEnd {
-    if client.over().is_none() {
-        client.while_there(future::pending::<()>()).await;
+async fn wait_for_disconnect(client: &Client) -> ConnectionEnd {
+    if client.end().is_none() {
+        client.unless_left(future::pending::<()>()).await;
         return ConnectionEnd::ClientLeft;
     }
     future::pending().await
@@ -135,22 +136,23 @@
 
 impl Client {
     /// Whether the limits on pending or unsent replies are exceeded.
-    fn has_enough(&self) -> bool {
+    fn reply_limit_exceeded(&self) -> bool {
         let session = self.session.borrow();
-        session.replies().pending() > MAX_PENDING_REPLIES || session.replies().unsent_bytes() > MAX_UNSENT
+        session.replies().pending() > MAX_PENDING_REPLIES
+            || session.replies().unsent_bytes() > MAX_UNSENT_BYTES
     }
 
     /// Records when the incomplete command, if any, started.
-    fn note_half_command(&self, read_at: Micros) {
-        let (incoming, half) = {
+    fn update_partial_since(&self, read_at: Micros) {
+        let (incoming, partial) = {
             let session = self.session.borrow();
             let incoming = session.incoming().is_some();
             (incoming, incoming || session.unparsed_bytes() > 0)
         };
-        self.half_since.set(match self.half_since.get() {
+        self.partial_since.set(match self.partial_since.get() {
             // For a streamed value, the timeout restarts with each read.
-            since if half && since > 0 && !incoming => since,
-            _ if half => read_at,
+            since if partial && since > 0 && !incoming => since,
+            _ if partial => read_at,
             _ => 0,
         });
     }
@@ -159,31 +161,31 @@
 impl Runtime {
     /// Whether another request can be admitted. Each one, and each [`MAX_VALUE`] of unsent replies, counts as one towards
     /// the request limit.
-    fn room(&self) -> bool {
+    fn can_admit(&self) -> bool {
         self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().taken
     }
 }
 
-fn take(runtime: &Rc<Runtime>, client: &Client, place: ReplySlot, call: BackendCommand, read_at: Micros) {
+fn admit(runtime: &Rc<Runtime>, client: &Client, slot: ReplySlot, command: BackendCommand, read_at: Micros) {
     // A streamed write gets extra time to receive its value; the attempt applies the deadline from the last byte.
-    let wait = call.wait.min(runtime.network.max_request_time());
-    let wait = wait - REPLY_MARGIN.min(wait / REPLY_MARGIN_PART);
-    let wait = if call.streamed.is_some() { wait.saturating_add(STREAMED_VALUE_TIMEOUT) } else { wait };
-    let taken = runtime.drive(|proxy, now| {
-        let taken = ClientRequest {
-            id: call.id.clone(),
-            place,
-            class: call.class.clone(),
-            tenant: call.tenant.clone(),
-            key: call.key.clone(),
-            write: call.value_len().is_some(),
+    let wait = command.wait.min(runtime.network.max_request_time());
+    let wait = wait - REPLY_MARGIN.min(wait / REPLY_MARGIN_DIVISOR);
+    let wait = if command.streamed.is_some() { wait.saturating_add(STREAMED_VALUE_TIMEOUT) } else { wait };
+    let result = runtime.drive(|proxy, now| {
+        let request = ClientRequest {
+            id: command.id.clone(),
+            place: slot,
+            class: command.class.clone(),
+            tenant: command.tenant.clone(),
+            key: command.key.clone(),
+            write: command.value_len().is_some(),
             due: read_at.saturating_add(wait),
-            call,
+            call: command,
         };
-        proxy.taken(now, taken)
+        proxy.taken(now, request)
     });
-    if let Err(error) = taken {
+    if let Err(error) = result {
         runtime.proxy.borrow_mut().counters.rejected += 1;
-        client.session.borrow_mut().reject(place.sequence, &error.to_string());
+        client.session.borrow_mut().reject(slot.sequence, &error.to_string());
     }
 }
--- a/proxy/src/wire/driver/client/writer.rs
+++ b/proxy/src/wire/driver/client/writer.rs
@@ -19,7 +19,7 @@
 /// Writes output that the socket did not accept immediately, until the connection ends.
 pub(super) async fn write(runtime: &Runtime, client: &Client) -> ConnectionEnd {
     loop {
-        if let Some(ending) = client.over() {
+        if let Some(ending) = client.end() {
             return ending;
         }
         if client.session.borrow().replies().output().is_empty() {
@@ -33,7 +33,7 @@
         };
         // A wake-up may announce another reply or the end of the connection; only the end stops the wait.
         let woken = async {
-            while client.over().is_none() {
+            while client.end().is_none() {
                 let _ = client.wake.1.recv().await;
             }
             true
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -34,7 +34,7 @@
     /// Listens and accepts until the task is dropped: at once if alone, else once clients can be served. From then on
     /// the system hands this process its part of the new connections.
     pub(super) async fn open(self: Rc<Self>, socket: Socket) {
-        while !self.able() && !self.others().is_empty() {
+        while !self.able() && !self.other_processes().is_empty() {
             Timer::after(READY_YET).await;
         }
         let listener =
@@ -55,17 +55,17 @@
     }
 
     /// The other processes of this proxy that live.
-    pub(super) fn others(&self) -> Vec<OtherProcess> {
+    pub(super) fn other_processes(&self) -> Vec<OtherProcess> {
         self.hot_restart.borrow().as_ref().map(HotRestart::others).unwrap_or_default()
     }
 
     /// Whether another process takes clients in this one's stead.
     pub fn has_successor(&self) -> bool {
-        self.others().iter().any(|other| other.open)
+        self.other_processes().iter().any(|other| other.open)
     }
 
     /// Carries out the state that is held, and tells the other process so; its version.
-    pub(super) fn heed(self: &Rc<Self>) -> u64 {
+    pub(super) fn apply_state(self: &Rc<Self>) -> u64 {
         let Some(state) = self.hot_restart.borrow().as_ref().map(|h| h.state.clone()) else { return 0 };
         let drains = AdministrativeDrains {
             drained: state.drained.into_iter().collect(),
@@ -90,7 +90,7 @@
             };
             match refreshed {
                 Ok(true) => {
-                    self.heed();
+                    self.apply_state();
                 }
                 Ok(false) => {}
                 // Told once for as long as it lasts.
@@ -100,7 +100,7 @@
                     told = why.to_string();
                 }
             }
-            let now = 1 + self.others().len();
+            let now = 1 + self.other_processes().len();
             if now != processes {
                 log::info!(processes = now; "hot restart: {now} processes, was {processes}");
                 processes = now;
@@ -129,7 +129,7 @@
             let in_time = Instant::now() < until;
             let room = self.client_budget.used() < self.client_budget.most() + OVERDRAFT;
             if !room && in_time {
-                self.retire_some(Some(0));
+                self.retire_idle(Some(0));
                 Timer::after(READY_YET).await;
                 continue;
             }
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -79,7 +79,7 @@
     operators: Rc<LocalExecutor<'static>>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     next_client: Cell<u64>,
-    attempts_out: RefCell<HashMap<AttemptId, Task<()>>>,
+    attempts_in_flight: RefCell<HashMap<AttemptId, Task<()>>>,
     /// The watch on discovery, while one runs.
     watch: RefCell<Option<Task<()>>>,
     acceptor: RefCell<Option<Task<()>>>,
@@ -144,7 +144,7 @@
             operators: executors.operators,
             clients: RefCell::default(),
             next_client: Cell::new(1),
-            attempts_out: RefCell::default(),
+            attempts_in_flight: RefCell::default(),
             watch: RefCell::default(),
             acceptor: RefCell::default(),
             listener: RefCell::default(),
@@ -175,7 +175,7 @@
             all: true,
             targets: Vec::new(),
         });
-        runtime.heed();
+        runtime.apply_state();
         runtime.drive(|proxy, now| proxy.update(now, crate::state::endpoints::Update { all: true, ..known }));
         if let Some(guard) = runtime.tasks.as_ref().and_then(|t| t.guard()).cloned() {
             runtime.drive(|proxy, now| proxy.enforce_versions(now, VersionInForce::new(guard, now)));
@@ -228,11 +228,11 @@
                     Attempt { id: attempt_id, server, command: call, deadlines },
                 );
                 let task = self.executor.spawn(run);
-                self.attempts_out.borrow_mut().insert(attempt_id, task);
+                self.attempts_in_flight.borrow_mut().insert(attempt_id, task);
             }
             Command::Cancel(attempt_id) => {
                 // Dropping the task closes its connection: its late bytes are read by nobody.
-                let task = self.attempts_out.borrow_mut().remove(&attempt_id);
+                let task = self.attempts_in_flight.borrow_mut().remove(&attempt_id);
                 drop(task);
             }
             Command::Answer(slot, answer) => {
@@ -301,7 +301,7 @@
             let now = self.clock.now();
             self.pools.borrow_mut().sweep(now, Connection::alive);
             self.expire_clients();
-            self.cut_off_stalled();
+            self.disconnect_stalled();
         }
     }
 
@@ -323,7 +323,7 @@
     /// Answers every request now, and reads no further one: the process has no more time.
     pub fn answer_all(self: &Rc<Self>) {
         self.drive(Proxy::answer_all);
-        self.refuse_rest();
+        self.reject_unadmitted();
     }
 
     /// Client connections that are open.
