--- a/proxy/src/wire/driver/connection.rs
+++ b/proxy/src/wire/driver/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to backends and the origin: taken from a pool, or made.
+//! Connections to servers: reused from the pool or newly opened.
 
 use super::Runtime;
 use crate::net::{self, ConnectError, Fault};
@@ -12,27 +12,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection that fails for want of something on this machine, or of a path, is tried again so often within one
-/// attempt, after so long each time: the other side knows nothing of it, and most such trouble is over in a moment.
+/// Retries of a connect that failed for a local reason or a network path error. Such failures are usually short, and the
+/// server has not seen the attempt.
 pub(super) const CONNECT_RETRIES: u32 = 3;
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// A connection to a backend or the origin.
+/// A connection to a server.
 pub struct Connection {
     pub(super) io: Async<TcpStream>,
     _ticket: Ticket,
 }
 
 impl Connection {
-    /// Whether an idle connection is still open and silent. One that the other side has closed takes no
-    /// command, and bytes that nobody asked for would be taken for the answer to it.
+    /// Whether an idle connection is open and has no unread input. Unexpected input would be taken for the reply to the next
+    /// command.
     pub fn alive(&self) -> bool {
         matches!(self.io.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A connection to the backend: the one used most recently that is rested, else a new one, which `is_new` is told before
-/// it is made.
+/// Returns the most recently used pooled connection to the server, or opens one. Waits until a
+/// pooled connection may be reused. Sets `is_new` before it connects.
 pub(super) async fn checkout(
     runtime: &Rc<Runtime>,
     server: ServerId,
@@ -72,7 +72,7 @@
                 return Ok(Connection { io, _ticket: ticket });
             }
             Some(Err(error)) => error,
-            // The time ran out while this machine's trouble was waited out: the other side has had none of it.
+            // If the timeout was spent on retries of a local failure, that failure is reported, not a timeout.
             None => {
                 return Err(match failed {
                     Some(error) => runtime.connect_failed(endpoint, &error),
@@ -85,7 +85,7 @@
             return Err(runtime.connect_failed(endpoint, &error));
         }
         retries += 1;
-        // An idle connection that is closed frees a descriptor at once.
+        // Closing an idle connection frees a descriptor, so no pause is needed.
         if !(error.lacks_descriptor() && runtime.pools.borrow_mut().evict()) {
             Timer::after(CONNECT_RETRY_PAUSE).await;
         }
@@ -94,7 +94,7 @@
 }
 
 impl Runtime {
-    /// A socket of the budget for another connection; an idle one makes room.
+    /// Takes a descriptor for an upstream connection from the budget, after closing an idle connection if needed.
     fn upstream_ticket(&self) -> Option<Ticket> {
         let ticket = self.upstream_budget.take();
         if ticket.is_some() {
@@ -103,16 +103,16 @@
         if self.pools.borrow_mut().evict() {
             return self.upstream_budget.take();
         }
-        // Told at every doubling: under load there is one for each request.
+        // Logged at every power of two to limit the log volume under load.
         let times = self.proxy.borrow().counters.attempts_ended(AttemptOutcome::NotSent) + 1;
         if times.is_power_of_two() {
-            log::warn!(times; "no socket left for another attempt ({times} times so far)");
+            log::warn!(times; "no descriptor left for another attempt ({times} times so far)");
         }
         None
     }
 
-    /// How an attempt ends whose connection could not be made. Only what speaks against the endpoint is told as its
-    /// failure; for the rest nothing was sent, and no backend is to blame.
+    /// Returns the outcome of an attempt whose connect failed. Only failures caused by the endpoint count against it; others
+    /// are reported as not sent.
     fn connect_failed(&self, endpoint: SocketAddr, error: &ConnectError) -> AttemptOutcome {
         let ending = match error.fault() {
             Fault::Peer => return AttemptOutcome::ConnectRefused,
@@ -123,7 +123,7 @@
         let times = self.connect_faults.get() + 1;
         self.connect_faults.set(times);
         if times.is_power_of_two() {
-            log::warn!(times; "cannot connect to {endpoint} from here ({times} times so far): {error}");
+            log::warn!(times; "local or network failure while connecting to {endpoint} ({times} such failures so far): {error}");
         }
         ending
     }
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Two processes on one address: listening next to another, leaving in its favour, heeding one state.
+//! Hot restart: shares the listen address and the drain state between the old and the new process.
 
 use super::{client, Runtime};
 use crate::net::{Listener, Queued};
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections that may wait to be accepted.
+/// Listen backlog.
 const BACKLOG: i32 = 1024;
-/// How often the state is looked at, alone and next to another process.
+/// How often the shared state is read: as the only process, and next to others.
 const LOOK: Duration = Duration::from_millis(100);
 const LOOK_CLOSELY: Duration = Duration::from_millis(10);
-/// How often a process that may not listen yet looks whether it may.
+/// Poll interval while waiting to listen, and for room while the accept queue is emptied.
 const READY_YET: Duration = Duration::from_millis(5);
-/// Connections that are taken beyond the room for them when the listener is closed; for more it waits so long.
+/// Connections accepted beyond the budget while the accept queue is emptied, and the maximum wait for room for more.
 const OVERDRAFT: usize = 12;
 const EMPTYING: Duration = Duration::from_millis(200);
 
-/// Takes the clients' address, next to another process of this proxy if there is one. It is not listened on yet.
+/// Binds the client address with `SO_REUSEPORT`, without listening yet. Another process of this proxy may be bound to it.
 pub fn bind(address: SocketAddr) -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -31,8 +31,8 @@
 }
 
 impl Runtime {
-    /// Listens and accepts until the task is dropped: at once if alone, else once clients can be served. From then on
-    /// the system hands this process its part of the new connections.
+    /// Listens and accepts clients until the task is dropped. Starts immediately if there is no other process, else once
+    /// clients can be served. The kernel distributes new connections among the listening processes.
     pub(super) async fn open(self: Rc<Self>, socket: Socket) {
         while !self.able() && !self.other_processes().is_empty() {
             Timer::after(READY_YET).await;
@@ -54,17 +54,18 @@
         }
     }
 
-    /// The other processes of this proxy that live.
+    /// The other running processes of this proxy.
     pub(super) fn other_processes(&self) -> Vec<OtherProcess> {
         self.hot_restart.borrow().as_ref().map(HotRestart::others).unwrap_or_default()
     }
 
-    /// Whether another process takes clients in this one's stead.
+    /// Whether another process of this proxy accepts clients.
     pub fn has_successor(&self) -> bool {
         self.other_processes().iter().any(|other| other.open)
     }
 
-    /// Carries out the state that is held, and tells the other process so; its version.
+    /// Applies the drain state and reports that to the other processes. Returns the version of the state, or 0 without hot
+    /// restart.
     pub(super) fn apply_state(self: &Rc<Self>) -> u64 {
         let Some(state) = self.hot_restart.borrow().as_ref().map(|h| h.state.clone()) else { return 0 };
         let drains = AdministrativeDrains {
@@ -78,8 +79,8 @@
         state.serial
     }
 
-    /// Keeps up with the other process: what it takes out or puts back, and whether it lives.
-    /// The limits are shared among so many processes at first.
+    /// Follows drain changes by other processes and the number of processes. `processes` is the initial number, for which
+    /// the limits were divided.
     pub(super) async fn run_hot_restart(self: Rc<Self>, mut processes: usize) {
         let mut told = String::new();
         loop {
@@ -93,10 +94,10 @@
                     self.apply_state();
                 }
                 Ok(false) => {}
-                // Told once for as long as it lasts.
+                // Logged once per distinct error.
                 Err(why) if why.to_string() == told => {}
                 Err(why) => {
-                    log::error!("hot restart: the state cannot be read, what is held stays: {why}");
+                    log::error!("hot restart: cannot read the state, keeping the current one: {why}");
                     told = why.to_string();
                 }
             }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Takes this process's part of the limits while so many live.
+    /// Applies this process's share of the limits among `processes` processes.
     fn share(&self, processes: usize) {
         let room = self.limits.room(processes);
         self.room.set(room);
@@ -118,8 +119,8 @@
         while self.upstream_budget.used() > room.upstream && self.pools.borrow_mut().evict() {}
     }
 
-    /// Takes no new connections. What waits in the queue is taken first: connections that are in it when the
-    /// listener is closed are reset, with a request on them that nobody has read.
+    /// Stops accepting connections. Empties the accept queue first, because closing the listener resets the connections in
+    /// it, with the requests already sent on them.
     pub async fn stop_accepting(self: &Rc<Self>) {
         self.acceptor.replace(None);
         let until = Instant::now() + EMPTYING;
@@ -135,21 +136,21 @@
             }
             match listener.queued() {
                 Queued::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
-                // One that went while it was queued says nothing of those behind it.
+                // A queued connection was aborted; the ones behind it can still be accepted.
                 Queued::Lost(error) if lost < BACKLOG => {
                     self.accept_failed(&error);
                     lost += 1;
                 }
-                // What is short comes back while others end; the rest of the queue would be reset unread.
+                // Descriptors or memory are short; retries until others are freed.
                 Queued::Shortage(error) if in_time => {
                     self.accept_failed(&error);
                     Timer::after(READY_YET).await;
                 }
                 Queued::Lost(error) | Queued::Shortage(error) => {
-                    log::warn!("acceptor: closed with connections that cannot be accepted: {error}");
+                    log::warn!("acceptor: closed with connections left in the queue: {error}");
                     break;
                 }
-                // Closed before anything else is done.
+                // Closes the listener without yielding in between.
                 Queued::Empty => break,
             }
         }
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The thin driver: it owns the sockets, feeds bytes to the state machines and carries out what the proxy
-//! wants done. One thread, one executor, a task for each connection and each attempt.
+//! I/O driver: owns the sockets, feeds received bytes to the protocol state machines and executes the commands of
+//! [`Proxy`]. Single-threaded, with one task per client connection and per attempt.
 
 pub mod admin;
 mod attempt;
@@ -37,45 +37,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often idle connections are looked over.
+/// Interval between checks for idle, expired and stalled connections.
 const SWEEP: Duration = Duration::from_millis(250);
-/// A proxy whose discovery says nothing at the start serves with the list that it was started with.
+/// Time to wait for discovery at the start. After it, the proxy serves with the endpoint list from its configuration.
 const FIRST_LIST: Duration = Duration::from_millis(1500);
-/// The longest pause between two watches where the settings name none.
+/// Poll interval of discovery if the settings describe pushed updates.
 const PUSHED_ASK_EVERY: Micros = 10_000_000;
 
-/// The sockets that a process begins with.
+/// The sockets that a process starts with.
 pub struct Sockets {
-    /// The clients' address, bound and not listened on yet.
+    /// Socket bound to the client address, not listening yet.
     pub clients: Socket,
-    /// Where operators call, if anywhere.
+    /// Listener of the admin server, if it is configured.
     pub operators: Option<Listener>,
 }
 
-/// Where the tasks run.
+/// The executors that tasks run on.
 #[derive(Clone, Default)]
 pub struct Executors {
-    /// Everything but operators' calls.
+    /// Runs all tasks except the admin server.
     pub clients: Rc<LocalExecutor<'static>>,
-    /// Operators' calls.
+    /// Runs the admin server and the hot restart task.
     pub operators: Rc<LocalExecutor<'static>>,
 }
 
-/// What a process does with others, where a file says so.
+/// The parts that cooperate with other proxies, if configured.
 #[derive(Default)]
 pub struct Fleet {
-    /// What is done for the whole fleet, and versions.
+    /// Tasks of the lease group, and configuration versions.
     pub tasks: Option<Rc<Tasks>>,
-    /// The filter of known-missing keys.
+    /// Negative cache of keys missing at the origin.
     pub missing: Option<Rc<NegativeCache>>,
 }
 
-/// All that the tasks share.
+/// State shared by all tasks.
 pub struct Runtime {
     proxy: RefCell<Proxy<BackendCommand>>,
     pools: RefCell<Pools<Connection>>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Operators' calls run here: they get their turn before clients.
+    /// Runs the admin server, with precedence over `executor`.
     operators: Rc<LocalExecutor<'static>>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     next_client: Cell<u64>,
@@ -83,43 +83,43 @@
     /// The watch on discovery, while one runs.
     watch: RefCell<Option<Task<()>>>,
     acceptor: RefCell<Option<Task<()>>>,
-    /// Where clients connect, while they may.
+    /// The client listener, while clients are accepted.
     listener: RefCell<Option<Rc<Listener>>>,
     hot_restart: RefCell<Option<HotRestart>>,
     clock: Clock,
-    /// Times that the sockets go by.
+    /// Timeouts of the sockets.
     pub network: NetworkSettings,
     discovery: Cell<SocketAddr>,
     client_budget: Budget,
     upstream_budget: Budget,
-    /// Endpoints that could not be reached lately.
+    /// Endpoints with recent path failures.
     reachability: RefCell<Reachability>,
-    /// Connections that could not be made for what this machine lacks, or for a path that was down.
+    /// Number of connects that failed for a local reason or a network path error.
     connect_faults: Cell<u64>,
     /// Whether clients wait for a descriptor.
     short: Cell<bool>,
     limits: Limits,
-    /// This process's part of them.
+    /// This process's share of `limits`.
     room: Cell<Room>,
-    /// Bytes of commands that are half read, on all client connections.
+    /// Bytes of incomplete commands on all client connections.
     half_read: Rc<Cell<usize>>,
-    /// Bytes of answers that clients have not taken yet.
+    /// Bytes of unsent replies on all client connections.
     unsent: Rc<Cell<usize>>,
-    /// Bytes of answers that are being read, beyond one value's size each.
+    /// Bytes of replies being read, beyond [`MAX_VALUE`](super::MAX_VALUE) each.
     large: Cell<usize>,
-    /// When the timer task wakes next.
+    /// Next wake-up of the timer task; [`Micros::MAX`] if none is set.
     armed: Cell<Micros>,
     rearm: (Sender<()>, Receiver<()>),
     heard: Cell<bool>,
     stopping: Cell<bool>,
-    /// What is done for the whole fleet, where a file says so.
+    /// Tasks of the lease group, if configured.
     tasks: Option<Rc<Tasks>>,
-    /// The filter of known-missing keys, where a file says so.
+    /// Negative cache, if configured.
     missing: Option<Rc<NegativeCache>>,
 }
 
 impl Runtime {
-    /// Starts serving on these sockets.
+    /// Starts the proxy on these sockets and spawns its tasks.
     pub fn start(
         config: Config,
         sockets: Sockets,
@@ -129,7 +129,7 @@
     ) -> Rc<Self> {
         let clock = Clock::start();
         let (mut settings, network) = (config.settings.settings(), config.settings.network());
-        // On sockets nothing is pushed: where the simulator would, a real proxy has to watch all the same.
+        // Discovery pushes updates in the simulator only; over sockets the proxy has to watch.
         if settings.discovery == Discovery::Pushed {
             settings.discovery = Discovery::OnRequest { poll_interval: PUSHED_ASK_EVERY };
         }
@@ -169,7 +169,7 @@
             tasks: fleet.tasks,
             missing: fleet.missing,
         });
-        // The module asks for a watch once it is given a list, even one without lines.
+        // The proxy starts its watch after the first endpoint update, even an empty one.
         let known = config.known.unwrap_or(crate::state::endpoints::Update {
             rev: 0,
             all: true,
@@ -201,7 +201,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Lets something happen to the proxy and carries out what it wants done.
+    /// Applies `happen` to the proxy and executes the commands that result.
     fn drive<R>(self: &Rc<Self>, happen: impl FnOnce(&mut Proxy<BackendCommand>, Micros) -> R) -> R {
         let now = self.clock.now();
         let (result, commands, due) = {
@@ -213,7 +213,7 @@
             self.execute(command);
         }
         if due.is_some_and(|due| due < self.armed.get()) {
-            // Full means that the timer task is being woken as it is.
+            // A full channel means that a wake-up is already pending.
             let _ = self.rearm.0.try_send(());
         }
         result
@@ -231,7 +231,7 @@
                 self.attempts_in_flight.borrow_mut().insert(attempt_id, task);
             }
             Command::Cancel(attempt_id) => {
-                // Dropping the task closes its connection: its late bytes are read by nobody.
+                // Dropping the task closes its connection and discards a late reply.
                 let task = self.attempts_in_flight.borrow_mut().remove(&attempt_id);
                 drop(task);
             }
@@ -239,7 +239,7 @@
                 self.with_session(slot, |session| session.answer(slot.sequence, answer));
             }
             Command::Watch => {
-                // One that a move of discovery has begun serves as well.
+                // Keeps a watch that `move_discovery` has started.
                 if self.watch.borrow().is_none() {
                     self.begin_watch();
                 }
@@ -250,18 +250,18 @@
 
     fn begin_watch(self: &Rc<Self>) {
         let task = self.executor.spawn(watch::run(Rc::clone(self)));
-        // A watch that was there ends with its task.
+        // Replacing the task ends the previous watch.
         self.watch.replace(Some(task));
     }
 
-    /// Watches discovery at this address from here on. The list held stays, and the new watch goes on from
-    /// its version. It is begun anew even where the address is the same: whoever asks for it has cause to.
+    /// Watches discovery at another address. Keeps the endpoint list; the new watch continues from its version. The watch is
+    /// restarted even if the address is unchanged.
     pub fn move_discovery(self: &Rc<Self>, discovery: SocketAddr) {
         self.discovery.set(discovery);
         self.begin_watch();
     }
 
-    /// Takes up the group's word on versions as it comes.
+    /// Schedules the configuration versions that the lease group plans.
     async fn run_versions(self: Rc<Self>) {
         let Some(tasks) = self.tasks.clone() else { return };
         loop {
@@ -305,33 +305,33 @@
         }
     }
 
-    /// Whether clients' requests can be served: discovery was heard, or waited for, and lists a backend.
+    /// Whether requests can be served: discovery has answered or `FIRST_LIST` has passed, and a backend is listed.
     fn able(&self) -> bool {
         self.heard.get() && self.proxy.borrow().endpoints.lists_any()
     }
 
-    /// Whether clients should be sent here.
+    /// Whether load balancers should send clients to this process.
     pub fn ready(&self) -> bool {
         self.able() && self.listener.borrow().is_some() && !self.stopping.get()
     }
 
-    /// Requests whose answer is owed.
+    /// Number of requests in flight.
     pub fn owed(&self) -> usize {
         self.proxy.borrow().owed()
     }
 
-    /// Answers every request now, and reads no further one: the process has no more time.
+    /// Answers every request in flight and rejects all others, before the process exits.
     pub fn answer_all(self: &Rc<Self>) {
         self.drive(Proxy::answer_all);
         self.reject_unadmitted();
     }
 
-    /// Client connections that are open.
+    /// Number of open client connections.
     pub fn clients_open(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// Says from here on that it is not ready; everything else goes on.
+    /// Starts draining: reports not ready and leaves the lease group. Clients are still served.
     pub fn begin_stop(&self) {
         self.stopping.set(true);
         if let Some(tasks) = &self.tasks {
@@ -339,12 +339,12 @@
         }
     }
 
-    /// Takes up another policy; false where that takes a restart.
+    /// Applies another policy. Returns false if that requires a restart.
     pub fn reload(&self, policy: Option<Arc<Policy>>) -> bool {
         self.proxy.borrow_mut().reload(self.clock.now(), policy)
     }
 
-    /// Writes the counters to the log: `name=n` in its text, and each under its name beside it.
+    /// Logs the counters, as `name=n` in the text and as structured fields.
     pub fn report(&self, what: &str) {
         let proxy = self.proxy.borrow();
         let mut figures = proxy.counters.named();
--- a/proxy/src/wire/driver/tests.rs
+++ b/proxy/src/wire/driver/tests.rs
@@ -1,4 +1,4 @@
-//! The runtime on loopback sockets, with system calls that fail as a test says.
+//! Tests of the runtime on loopback sockets, with injected system call failures.
 
 use super::{hot_restart, Executors, Fleet, Runtime, Sockets};
 use crate::lifecycle::config::Config;
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// No wait is longer: a test that would hang fails instead.
+/// Timeout of every read, so that a hanging test fails.
 const PATIENCE: Duration = Duration::from_secs(10);
 const SETTINGS: &str = r#"{"balancers":1,"me":0,"grades":[
     {"name":"read","aim":750.0,"deadline":2000.0,"effect":"idempotent","points":2.0},
@@ -26,7 +26,7 @@
     "mostHeld":20000,"retryAfter":true,"secondCopies":true},
     "obligations":{"askEvery":10000.0,"cold":8100.0,"coldFrom":0.31,"fallMultiple":4.0,"tipAfter":2000.0}}"#;
 
-/// Answers each command or request on each connection with `value`; a key `once` closes the connection behind it.
+/// Starts a server that answers each command or request with `value`.
 fn peer(value: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -73,13 +73,13 @@
     Config::parse(text.as_bytes(), |_| None).ok().unwrap()
 }
 
-/// Runs a proxy for as long as the test's own steps take; its sockets are made on this thread.
+/// Runs `test` against a proxy. The proxy runs on this thread, since failures are injected per thread.
 fn with_proxy<F: Future<Output = ()>>(
     caches: &[SocketAddr],
     origin: SocketAddr,
     test: impl FnOnce(Rc<Runtime>, SocketAddr) -> F,
 ) {
-    // A watch on it comes up and stays silent.
+    // Accepts the watch and sends nothing.
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = config(caches, origin, discovery.local_addr().unwrap());
     clear();
@@ -89,14 +89,14 @@
     let sockets = Sockets { clients, operators: None };
     let runtime = Runtime::start(config, sockets, None, Fleet::default(), executors.clone());
     async_io::block_on(executors.clients.run(async {
-        // The watch's connection is up, so that no failure hits it.
+        // Waits for the watch to connect, so that no injected failure hits it.
         unblock(move || discovery.accept().unwrap()).await;
         test(runtime, address).await;
     }));
     clear();
 }
 
-/// A client's connection.
+/// A connection to the proxy.
 struct Client {
     stream: TcpStream,
     reader: Reader,
@@ -129,7 +129,7 @@
     }
 }
 
-/// A request on a new connection, and its answer.
+/// Sends a request on a new connection and returns the answer.
 async fn ask(address: SocketAddr, write: bool) -> Option<Value> {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let id = format!("id{}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -157,13 +157,13 @@
         self.proxy.borrow().counters.attempts_ended(ending)
     }
 
-    /// Attempts that were told to the decisions as failures to connect.
+    /// Number of attempts that counted as connect failures of the server.
     fn blamed(&self) -> u64 {
         self.endings(AttemptOutcome::ConnectRefused) + self.endings(AttemptOutcome::ConnectTimedOut)
     }
 }
 
-/// What this machine lacks or forbids, by the call that tells it.
+/// Local errors, with the system call that returns them.
 const LOCAL: [(SocketCall, Errno); 13] = [
     (SocketCall::Socket, Errno::MFILE),
     (SocketCall::Socket, Errno::NFILE),
@@ -179,7 +179,7 @@
     (SocketCall::Connect, Errno::PERM),
     (SocketCall::Connect, Errno::INTR),
 ];
-/// What the way to the other side lacks.
+/// Network path errors.
 const PATH: [(SocketCall, Errno); 4] = [
     (SocketCall::Connect, Errno::NETUNREACH),
     (SocketCall::Connect, Errno::HOSTUNREACH),
@@ -207,17 +207,17 @@
     for (call, error) in LOCAL.into_iter().chain(PATH).filter(|(_, error)| *error != Errno::INTR) {
         with_proxy(&[cache()], origin(), |runtime, address| async move {
             let what = format!("{call:?} {error:?}");
-            // No connection can be made at all.
+            // Every connect fails.
             fail(call, error, 10_000);
             for n in 0..12 {
                 let write = n % 2 == 1;
                 let answer = ask(address, write).await;
-                assert!(refused(&answer), "{what}: it never ran, and its client may come again: {answer:?}");
+                assert!(refused(&answer), "{what}: expected a rejection: {answer:?}");
             }
             assert_eq!(runtime.blamed(), 0, "{what}");
             assert!(runtime.endings(AttemptOutcome::NotSent) >= 12, "{what}");
             clear();
-            // No window was cut, and nobody is ejected.
+            // The congestion windows are unchanged and no backend is ejected.
             for _ in 0..4 {
                 assert_eq!(ask(address, false).await, served(), "{what}");
                 assert_eq!(ask(address, true).await, served(), "{what}");
@@ -231,7 +231,7 @@
     for error in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT] {
         with_proxy(&[cache()], origin(), |runtime, address| async move {
             fail(SocketCall::Connect, error, 1);
-            assert_eq!(ask(address, false).await, served(), "{error:?}: by another attempt");
+            assert_eq!(ask(address, false).await, served(), "{error:?}: expected a successful retry");
             assert_eq!((runtime.blamed(), left(SocketCall::Connect)), (1, 0), "{error:?}");
             assert_eq!(runtime.endings(AttemptOutcome::ConnectTimedOut), u64::from(error == Errno::TIMEDOUT));
         });
@@ -243,7 +243,7 @@
     for (error, times) in [(Errno::CONNABORTED, 40), (Errno::PROTO, 40), (Errno::MFILE, 2), (Errno::NOMEM, 2)]
     {
         with_proxy(&[cache()], origin(), |runtime, address| async move {
-            // The loop waits in its first call already, which goes on by itself.
+            // The accept that is already waiting is not affected by the injected failure.
             assert_eq!(ask(address, false).await, served());
             fail(SocketCall::Accept, error, times);
             let begun = Instant::now();
@@ -260,7 +260,7 @@
     for error in errors {
         with_proxy(&[cache()], origin(), |runtime, address| async move {
             assert_eq!(ask(address, false).await, served());
-            // They come while this thread does nothing else: all are in the queue when the stop begins.
+            // The proxy runs on this thread, so all connections are still queued when the stop begins.
             let clients: Vec<Client> = (0..6)
                 .map(|n| {
                     let mut client = Client::connect(address);
--- a/proxy/src/wire/driver/watch.rs
+++ b/proxy/src/wire/driver/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery.
+//! Watches discovery for endpoint updates.
 
 use super::Runtime;
 use crate::net;
@@ -10,19 +10,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-// A watch that falls silent is missed: whatever it does not tell counts as told 6 s after it fell silent. These times,
-// with the pauses of the module between calls, leave room within that for a second call where the first is silent too.
+// A silent watch must be replaced within 6 s, even if the first call after it is silent as well. The timeouts below and
+// the pauses between calls add up to less.
 
-/// A call has begun to be answered by then or never: discovery fails those that have waited for a second.
+/// Timeout for the first bytes of the response. Discovery itself fails calls after 1 s.
 const FIRST: Duration = Duration::from_millis(1500);
-/// A watch has a beat of 2 s; one that is silent for so long is dead. The connection to a discovery service
-/// that was cut off stays open and says nothing, and drains would go unheard.
+/// Timeout between reads. Discovery sends a heartbeat every 2 s; a partitioned connection stays open without data.
 const SILENCE: Duration = Duration::from_millis(2750);
-/// A line is whole so long after the one before it. The watch of a discovery service that sends a byte now and
-/// then is not silent, and drains would go unheard all the same.
+/// Timeout between complete lines, for a discovery service that sends single bytes but no lines.
 const LINE: Duration = Duration::from_secs(5);
 
-/// Watches until the watch ends, and tells the proxy how it did.
+/// Runs one watch until it ends and reports the reason to the proxy.
 pub async fn run(runtime: Rc<Runtime>) {
     let (ending, why) = watch(&runtime).await;
     log::warn!(ending = ending.name(); "discovery: watch ended, {}: {why}", ending.name());
@@ -39,14 +37,14 @@
 ) -> Result<T, (DiscoveryEnd, String)> {
     let late = async {
         Timer::after(limit).await;
-        Err((DiscoveryEnd::Silent, format!("nothing for {} ms", limit.as_millis())))
+        Err((DiscoveryEnd::Silent, format!("no data for {} ms", limit.as_millis())))
     };
     future::or(async { work.await.map_err(|e| (DiscoveryEnd::Broken, e.to_string())) }, late).await
 }
 
 async fn watch(runtime: &Rc<Runtime>) -> (DiscoveryEnd, String) {
     match follow(runtime).await {
-        Ok(()) => (DiscoveryEnd::Broken, "closed".to_owned()),
+        Ok(()) => (DiscoveryEnd::Broken, "connection closed".to_owned()),
         Err(end) => end,
     }
 }
@@ -74,13 +72,13 @@
         }
         let updates = decoder.feed(buffer.get(..n).unwrap_or_default());
         for update in updates.map_err(|WatchEnded(why)| (DiscoveryEnd::Broken, why))? {
-            // A beat that changes nothing is no news.
+            // Updates without endpoints are heartbeats.
             let level = if update.targets.is_empty() { log::Level::Debug } else { log::Level::Info };
             let (rev, lines) = (update.rev, update.targets.len());
             log::log!(level, version = rev, lines, all = update.all; "discovery: version {rev}, {lines} lines, all={}", update.all);
             runtime.drive(|proxy, now| proxy.update(now, update));
         }
-        // A beat will do: discovery is there and has nothing that the list held lacks.
+        // Any complete line, even a heartbeat, shows that the endpoint list is current.
         if decoder.lines_received() > lines {
             (lines, line_at) = (decoder.lines_received(), Instant::now());
             runtime.heard.set(true);
--- a/proxy/src/wire/http.rs
+++ b/proxy/src/wire/http.rs
@@ -1,27 +1,27 @@
-//! HTTP/1.1 answers: a decoder that is fed bytes and gives the head, the body's pieces and the end.
+//! Incremental decoder of HTTP/1.1 responses.
 
-/// The longest head.
+/// Maximum size of the head, and of a chunk size or trailer line.
 const MAX_HEAD: usize = 16 * 1024;
-/// The most header lines.
+/// Maximum number of headers.
 const MAX_HEADERS: usize = 64;
 
-/// A part of an answer.
+/// A decoded part of a response.
 #[derive(Debug, PartialEq)]
 pub enum Part {
-    /// The status, and whether `X-Rejected: 1` came with it.
+    /// The response head.
     Head {
-        /// The status code.
+        /// Status code.
         status: u16,
-        /// The other side says that the request never ran.
+        /// `X-Rejected: 1` is set: the request was not executed.
         rejected: bool,
-        /// How long the body says that it is.
+        /// Value of `Content-Length`.
         length: Option<u64>,
     },
-    /// A piece of the body.
+    /// Bytes of the body.
     Data(Vec<u8>),
-    /// The answer is whole. Says whether the connection can take another request.
+    /// End of the response.
     End {
-        /// Neither side wants the connection closed, and nothing came behind the answer.
+        /// The connection can be reused: it is persistent and has no bytes after the response.
         reusable: bool,
     },
 }
@@ -37,17 +37,16 @@
     Done,
 }
 
-/// Reads one answer.
+/// Decoder of one response.
 pub struct Decoder {
     state: State,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that are in parts given so far. With an answer in small chunks, moving the
-    /// rest up for each would take longer the more of them one read brings.
+    /// Number of consumed bytes in the buffer. Removed once per feed, not per chunk, to avoid quadratic copying.
     read: usize,
     keep: bool,
 }
 
-/// The bytes are no HTTP answer.
+/// The bytes are not a valid HTTP response, or exceed a limit.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -58,9 +57,9 @@
 }
 
 impl Decoder {
-    /// Takes what has come in and gives what it completes.
+    /// Feeds received bytes and returns the parts that they complete. Bytes fed after the end are an error.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Part>, Malformed> {
-        // Nothing would ever take bytes behind a complete answer.
+        // Bytes after the end of the response would never be consumed.
         if matches!(self.state, State::Done) && !bytes.is_empty() {
             return Err(Malformed);
         }
@@ -77,17 +76,17 @@
         Ok(parts)
     }
 
-    /// Whether bytes of an answer wait for more.
+    /// Whether received bytes are not yet part of a decoded part.
     pub fn begun(&self) -> bool {
         !self.rest().is_empty()
     }
 
-    /// What has come and is in no part yet.
+    /// Received bytes that are not consumed yet.
     fn rest(&self) -> &[u8] {
         self.buffer.get(self.read..).unwrap_or_default()
     }
 
-    /// The other side has closed the connection: the end of an answer that has no other.
+    /// Reports that the server closed the connection, which ends a body without a declared length.
     pub fn closed(&mut self) -> Option<Part> {
         matches!(self.state, State::UntilClose).then(|| {
             self.state = State::Done;
@@ -106,7 +105,7 @@
         self.buffer.get(from..self.read).unwrap_or_default()
     }
 
-    /// The length of the first line with its end.
+    /// Length of the next line, line feed included; `None` if it is incomplete.
     fn line(&self) -> Result<Option<usize>, Malformed> {
         match self.rest().iter().position(|&b| b == b'\n') {
             Some(at) => Ok(Some(at + 1)),
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Whether an interim answer (1xx) was passed over.
+    /// Skips an interim response (1xx). Returns false if the head is incomplete.
     fn interim(&mut self) -> Result<bool, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
--- a/proxy/src/wire/http/tests.rs
+++ b/proxy/src/wire/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Status, rejected, body, and whether the answer was whole and its connection reusable.
+/// Status, rejected, body, and `reusable` if the response is complete.
 type Seen = (u16, bool, Vec<u8>, Option<bool>);
 
 fn read(bytes: &[u8], at: usize) -> Result<Seen, Malformed> {
@@ -42,7 +42,6 @@
         for at in 0..=bytes.len() {
             let expected = (status, rejected, body.to_vec(), end);
             let seen = read(bytes, at).unwrap();
-            // Bytes behind the end make a connection unfit for reuse; here there are none.
             assert_eq!(seen, expected, "{:?} split at {at}", String::from_utf8_lossy(bytes));
         }
     }
@@ -67,7 +66,7 @@
     }
 }
 
-/// Finding 14: what came behind a whole answer was kept for ever.
+/// Guards against buffering bytes after a complete response without bound.
 #[test]
 fn nothing_is_taken_behind_a_whole_answer() {
     let mut decoder = Decoder::default();
--- a/proxy/src/wire/mod.rs
+++ b/proxy/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What is spoken. Everything but [`driver`] is fed bytes and knows no socket.
+//! Network protocols of the proxy. All modules except [`driver`] are sans-I/O: they process bytes and use no sockets.
 
 pub mod admin;
 pub mod backend;
@@ -11,10 +11,9 @@
 pub mod resp;
 pub mod streamed_value;
 
-/// The largest value that a client may store, and what one is reckoned at where room is shared out.
+/// Maximum size in bytes of a buffered value, and the size that each request counts as in memory limits.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// The largest value there is; what claims to be larger is none. What is larger than [`MAX_VALUE`] is passed on as it
-/// comes.
+/// Maximum size in bytes of any value. Values larger than [`MAX_VALUE`] are streamed.
 pub const MAX_STREAMED_VALUE: usize = 4 * 1024 * 1024;
-/// The most of an answer that is kept whole where nothing tells its length beforehand.
+/// Maximum size in bytes of a buffered HTTP body without a declared length.
 pub const MAX_UNDELIMITED_BODY: usize = 1024 * 1024;
--- a/proxy/src/wire/origin.rs
+++ b/proxy/src/wire/origin.rs
@@ -1,4 +1,4 @@
-//! The origin's side: one HTTP request out, one answer back.
+//! Encodes HTTP requests to the origin and decodes its responses.
 
 use super::backend::{Reply, ReplyPart};
 use super::command::BackendCommand;
@@ -7,14 +7,14 @@
 use crate::outcome::AttemptOutcome;
 use notchdoor::Micros;
 
-/// `GET /KEY`, or `PUT /KEY` with the value (unless that passes through and follows in reply_parts), with the id and the list
-/// of names and values, in which `d` is how long the proxy will wait.
+/// Encodes `GET /KEY`, or `PUT /KEY` with the value, with the request id and the list of names and values, in which `d`
+/// is `wait`. A streamed value is not included: the caller sends it afterwards.
 pub fn encode(call: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
     let method = if call.value_len().is_some() { "PUT" } else { "GET" };
     let mut out = Vec::with_capacity(call.buffered_bytes() + 256);
     out.extend_from_slice(format!("{method} /").as_bytes());
     for &byte in &call.key {
-        // The call's words are plain; what a path may not hold as it is goes out as its number.
+        // Percent-encodes bytes that are not allowed in a path. The key contains no control characters.
         if !byte.is_ascii() || b"%?#\"<>\\^`{|}".contains(&byte) {
             out.extend_from_slice(format!("%{byte:02X}").as_bytes());
         } else {
@@ -34,24 +34,24 @@
     out
 }
 
-/// Reads one answer.
+/// Decoder of one response.
 #[derive(Default)]
 pub struct Decoder {
     http: http::Decoder,
     status: u16,
     rejected: bool,
     body: Vec<u8>,
-    /// The body is passed on as it comes.
+    /// The body is streamed.
     large: bool,
 }
 
 impl Decoder {
-    /// Whether a reply has begun to come.
+    /// Whether part of a response has been received.
     pub fn has_partial_reply(&self) -> bool {
         self.status != 0 || self.http.begun()
     }
 
-    /// Takes what has come in and gives what it completes.
+    /// Feeds received bytes and returns the parts of the reply that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<ReplyPart> {
         match self.http.feed(bytes) {
             Ok(parts) => {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The origin has closed the connection.
+    /// Reports that the origin closed the connection. Returns the reply if that completes it.
     pub fn closed(&mut self) -> Option<Reply> {
         let part = self.http.closed()?;
         match self.part(part) {
@@ -84,7 +84,7 @@
             Part::Head { status, rejected, length } => {
                 (self.status, self.rejected) = (status, rejected);
                 match length {
-                    // What claims to be larger than any value is not waited for.
+                    // A length above the maximum is rejected before the body arrives.
                     Some(length) if length > MAX_STREAMED_VALUE as u64 => garbled(),
                     Some(length) if length > MAX_VALUE as u64 && status == 200 => {
                         self.large = true;
@@ -95,7 +95,7 @@
             }
             Part::Data(data) if self.large => Some(ReplyPart::ValueData(data)),
             Part::Data(data) => {
-                // What an error has to say is read by nobody.
+                // Bodies of error responses are discarded.
                 if self.status == 200 {
                     self.body.extend_from_slice(&data);
                 }
@@ -109,7 +109,7 @@
                 let outcome = match self.status {
                     200 => AttemptOutcome::Served,
                     404 => AttemptOutcome::Absent,
-                    // Without the header it may have run, and a write would be repeated.
+                    // Without the header, the request may have been executed and must not be retried as rejected.
                     503 | 504 if self.rejected => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::Errored,
                 };
--- a/proxy/src/wire/origin/tests.rs
+++ b/proxy/src/wire/origin/tests.rs
@@ -43,7 +43,7 @@
             panic!("{text:.60}: {} parts", parts.len())
         };
         assert_eq!(reply.outcome, *outcome, "{text:.60}");
-        // A large body is passed on, and what is passed on is all of it.
+        // A large body is streamed completely.
         let data = parts
             .iter()
             .map(|p| if let ReplyPart::ValueData(data) = p { data.len() } else { 0 })
--- a/proxy/src/wire/resp.rs
+++ b/proxy/src/wire/resp.rs
@@ -1,58 +1,58 @@
-//! RESP2: a reader that is fed bytes and gives whole values, and the few forms that are written.
+//! Incremental RESP2 parser, and encoders for bulk strings and commands.
 
 use super::MAX_VALUE;
 
-/// The most elements of an array.
+/// Maximum number of elements of an array.
 const MAX_ITEMS: usize = 64;
-/// How deep arrays may lie in one another.
+/// Maximum nesting depth of arrays.
 const MAX_DEPTH: usize = 4;
-/// The longest line, which holds a length, a status or an error.
+/// Maximum length in bytes of a line with a length, a status or an error.
 const MAX_LINE: usize = 1024;
-/// What goes round the one large value of the longest message.
+/// Maximum size in bytes of a message beyond its largest bulk string.
 const MAX_AROUND: usize = 16 * 1024;
 
-/// A value as RESP2 has it.
+/// A RESP2 value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A status line.
+    /// Simple string.
     Simple(Vec<u8>),
-    /// An error line.
+    /// Error.
     Error(Vec<u8>),
-    /// A number.
+    /// Integer.
     Int(i64),
-    /// A bulk string, or null.
+    /// Bulk string; `None` is null.
     Bulk(Option<Vec<u8>>),
-    /// An array, or null.
+    /// Array; `None` is null.
     Array(Option<Vec<Value>>),
 }
 
-/// The bytes are not RESP2, or break a limit; the text says how.
+/// The bytes are not valid RESP2 or exceed a limit. Contains the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// How an array begins, for what is too large to be kept.
+/// The start of an array, as seen by [`Reader::head`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Head {
-    /// Too little has come to tell.
+    /// More bytes are needed.
     Unknown,
-    /// It does not begin with that many items of which the first is a string.
+    /// Not an array of the expected length whose first element is a non-null bulk string.
     Other,
-    /// Its first string has this length and begins so many bytes on.
+    /// The array matches; describes its first bulk string.
     Bulk {
-        /// The string's length.
+        /// Length of the string in bytes.
         length: usize,
-        /// Where it begins.
+        /// Offset of the string in the unread input.
         at: usize,
     },
 }
 
-/// Takes bytes as they come and gives values once they are whole.
+/// Incremental parser of RESP2 values.
 pub struct Reader {
-    /// The longest string.
+    /// Maximum length of a bulk string in bytes.
     most: usize,
     buffer: Vec<u8>,
     read: usize,
-    /// A value cannot be whole before the buffer holds so many bytes beyond `read`.
+    /// Minimum number of unread bytes for the next value to be complete.
     wanted: usize,
 }
 
@@ -69,7 +69,7 @@
 }
 
 enum Stop {
-    /// More bytes are needed: so many in all, at the least.
+    /// More bytes are needed. Contains the minimum total, 0 if unknown.
     More(usize),
     Malformed(Malformed),
 }
@@ -79,7 +79,7 @@
 }
 
 impl<'a> Cursor<'a> {
-    /// One line without its end.
+    /// Reads one line, without its CR LF.
     fn line(&mut self) -> Result<&'a [u8], Stop> {
         let rest = self.bytes.get(self.at..).unwrap_or_default();
         let Some(end) = rest.iter().take(MAX_LINE + 2).position(|&b| b == b'\n') else {
@@ -95,7 +95,7 @@
         text.and_then(|t| t.parse().ok()).map_or_else(|| bad("not a number"), Ok)
     }
 
-    /// A length: `None` for -1, which is null.
+    /// Parses a length of at most `most`; -1 (null) is `None`.
     fn length(line: &[u8], most: usize) -> Result<Option<usize>, Stop> {
         match Self::number(line)? {
             -1 => Ok(None),
@@ -108,7 +108,7 @@
     }
 
     fn value(&mut self, depth: usize) -> Result<Value, Stop> {
-        // The first byte decides before the line is whole, so that garbage is not waited for.
+        // Checks the type byte before the line is complete, to reject garbage early.
         match self.bytes.get(self.at) {
             None => return Err(Stop::More(0)),
             Some(b'+' | b'-' | b':' | b'$' | b'*') => {}
@@ -142,12 +142,12 @@
 }
 
 impl Reader {
-    /// A reader that takes strings of so many bytes at the most.
+    /// Creates a reader that accepts bulk strings of at most `most` bytes.
     pub fn with_most(most: usize) -> Self {
         Reader { most, buffer: Vec::new(), read: 0, wanted: 0 }
     }
 
-    /// Takes what has come in.
+    /// Feeds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.read > 0 {
             self.buffer.drain(..self.read);
@@ -156,17 +156,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are in no value given so far.
+    /// Number of unread bytes in the buffer.
     pub fn pending(&self) -> usize {
         self.buffer.len() - self.read
     }
 
-    /// So many bytes at least have to come before the next value is whole; it is asked for one that is not.
+    /// Minimum number of bytes, at least 1, still needed to complete the next value, which must be incomplete.
     pub fn missing(&self) -> usize {
         self.wanted.saturating_sub(self.pending()).max(1)
     }
 
-    /// How the next value begins: whether it is an array of so many items whose first is a string.
+    /// Inspects the start of the next value for an array of `items` elements whose first is a bulk string.
     pub fn head(&self, items: usize) -> Result<Head, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         let mut cursor = Cursor { most: usize::MAX, bytes, at: 0 };
@@ -193,8 +193,8 @@
         }
     }
 
-    /// For a command of so many words whose last one is too large to be kept, and is at most `most` bytes: the words
-    /// before it, its length, and where it begins.
+    /// Inspects the next value for a command of `words` words whose last one is too large to buffer and has at most `most`
+    /// bytes. Returns the words before it, its length and its offset.
     pub fn large_last(&self, words: usize, most: usize) -> Option<(Vec<Value>, usize, usize)> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         let mut cursor = Cursor { most: self.most, bytes, at: 0 };
@@ -214,18 +214,18 @@
         }
     }
 
-    /// Passes over the end of a string; `None` while it is not there.
+    /// Skips the CR LF after a bulk string; `None` while it is incomplete.
     pub fn end_of_bulk(&mut self) -> Result<Option<()>, Malformed> {
         let ended = ends(self.buffer.get(self.read..).unwrap_or_default())?;
         Ok(ended.then(|| self.skip(2)))
     }
 
-    /// Passes over so many bytes.
+    /// Skips `n` unread bytes, or all if there are fewer.
     pub fn skip(&mut self, n: usize) {
         self.read = (self.read + n).min(self.buffer.len());
     }
 
-    /// Takes so many bytes, or as many as there are.
+    /// Removes and returns `n` unread bytes, or all if there are fewer.
     pub fn take(&mut self, n: usize) -> Vec<u8> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         let taken = bytes.get(..n.min(bytes.len())).unwrap_or_default().to_vec();
@@ -233,7 +233,7 @@
         taken
     }
 
-    /// The end of a string and so many values behind it; `None` while they are not whole.
+    /// Reads the CR LF after a bulk string and the next `values` values; `None` while they are incomplete.
     pub fn after_bulk(&mut self, values: usize) -> Result<Option<Vec<Value>>, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         if !ends(bytes)? {
@@ -252,7 +252,7 @@
         }
     }
 
-    /// The next whole value, `None` while there is none.
+    /// Returns the next complete value, `None` while it is incomplete.
     pub fn next_value(&mut self) -> Result<Option<Value>, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         if bytes.len() < self.wanted.max(1) {
@@ -266,7 +266,7 @@
                 if self.read == self.buffer.len() {
                     self.buffer.clear();
                     self.read = 0;
-                    // One large value must not keep its room for as long as the connection lives.
+                    // Frees the memory of a large value.
                     self.buffer.shrink_to(4096);
                 }
                 Ok(Some(value))
@@ -288,7 +288,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Whether the end of a string has come whole.
+/// Whether `bytes` start with CR LF; false while these are incomplete.
 fn ends(bytes: &[u8]) -> Result<bool, Malformed> {
     let end = bytes.get(..bytes.len().min(2)).unwrap_or_default();
     let whole = end == b"\r\n";
@@ -296,7 +296,7 @@
     right.then_some(whole).ok_or(Malformed("string does not end in CR LF"))
 }
 
-/// Appends the head of an array of so many strings, and these.
+/// Appends the header of an array of `count` elements, and `words` as its first elements.
 fn write_words(out: &mut Vec<u8>, count: usize, words: &[&[u8]]) {
     out.extend_from_slice(format!("*{count}\r\n").as_bytes());
     for word in words {
@@ -309,7 +309,7 @@
     write_words(out, words.len(), words);
 }
 
-/// Appends a command without its last word, which is so long and follows in pieces.
+/// Appends a command whose last word has `last` bytes and is sent separately, followed by CR LF.
 pub fn write_command_head(out: &mut Vec<u8>, words: &[&[u8]], last: usize) {
     write_words(out, words.len() + 1, words);
     out.extend_from_slice(format!("${last}\r\n").as_bytes());
--- a/proxy/src/wire/resp/tests.rs
+++ b/proxy/src/wire/resp/tests.rs
@@ -4,7 +4,7 @@
     Value::Bulk(Some(text.into()))
 }
 
-/// What the bytes hold, fed in two parts that are split at `at`.
+/// Parses `bytes`, fed in two parts that are split at `at`.
 fn read(bytes: &[u8], at: usize) -> Result<Vec<Value>, Malformed> {
     let (mut reader, mut values) = (Reader::default(), Vec::new());
     for part in [&bytes[..at], &bytes[at..]] {
--- a/proxy/src/wire/streamed_value.rs
+++ b/proxy/src/wire/streamed_value.rs
@@ -1,35 +1,35 @@
-//! A large value on its way from a client to the origin: the few bytes of it that are here, and how far it has come.
+//! Bounded buffer for a large value that is streamed from a client to a server.
 
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
 
-/// Bytes that may wait to be passed on before no more is read from the client.
+/// Maximum number of buffered bytes; no more is read from the client at this limit.
 const MAX_BUFFERED: usize = 64 * 1024;
 
-/// What the one who passes it on is to do next.
+/// Result of [`StreamedValue::next`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextChunk {
-    /// Pass on these bytes.
+    /// Bytes to send.
     Bytes(Vec<u8>),
-    /// Wait for more.
+    /// No bytes are buffered; more will arrive.
     Wait,
-    /// All of it has been passed on.
+    /// The whole value has been returned.
     End,
-    /// The rest will never come.
+    /// The value was aborted or skipped.
     Aborted,
 }
 
-/// One large value.
+/// A value that is received and sent in parts.
 #[derive(Debug)]
 pub struct StreamedValue {
-    /// How long it is.
+    /// Length of the value in bytes.
     pub length: usize,
     waiting: RefCell<Vec<u8>>,
-    /// Bytes that were passed on: these cannot be sent again.
+    /// Bytes were returned by `next` and cannot be sent again.
     begun: Cell<bool>,
     whole: Cell<bool>,
     gone: Cell<bool>,
-    /// Nobody wants the rest.
+    /// The rest of the value is discarded.
     skipped: Cell<bool>,
     changed: Event,
 }
@@ -41,7 +41,7 @@
 }
 
 impl StreamedValue {
-    /// One of so many bytes, none of which has come.
+    /// Creates a value of `length` bytes, none received yet.
     pub fn new(length: usize) -> Self {
         StreamedValue {
             length,
@@ -58,7 +58,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// How many more bytes may come now.
+    /// Number of bytes that can be pushed now; unlimited once skipped.
     pub fn room(&self) -> usize {
         match self.skipped.get() {
             true => usize::MAX,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Some of it has come.
+    /// Appends received bytes. They are discarded once skipped.
     pub fn push(&self, bytes: &[u8]) {
         if !self.skipped.get() {
             self.waiting.borrow_mut().extend_from_slice(bytes);
@@ -74,31 +74,31 @@
         }
     }
 
-    /// All of it has come.
+    /// Marks the value as completely received.
     pub fn finish(&self) {
         self.whole.set(true);
         self.change();
     }
 
-    /// The rest of it will never come.
+    /// Marks the value as never to be completed, and discards buffered bytes.
     pub fn abort(&self) {
         self.gone.set(true);
         self.skip();
     }
 
-    /// Nobody wants the rest of it: what comes is not kept.
+    /// Discards buffered bytes and those that follow.
     pub fn skip(&self) {
         self.skipped.set(true);
         self.waiting.take();
         self.change();
     }
 
-    /// Whether it can still be passed on from its first byte.
+    /// Whether the value can still be sent from its first byte.
     pub fn untouched(&self) -> bool {
         !self.begun.get() && !self.skipped.get()
     }
 
-    /// What is to be passed on next.
+    /// Removes and returns the buffered bytes, or the state of the value if there are none.
     pub fn next(&self) -> NextChunk {
         let bytes = self.waiting.take();
         if !bytes.is_empty() {
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Waits until something about it changes.
+    /// Waits for the next state change.
     pub async fn change_of(&self) {
         self.changed.listen().await;
     }
 
-    /// Waits until all of it has come.
+    /// Waits until the value is completely received.
     pub async fn until_whole(&self) {
         while !self.whole.get() {
             self.changed.listen().await;
