--- a/proxy/src/lifecycle/serve.rs
+++ b/proxy/src/lifecycle/serve.rs
@@ -93,7 +93,7 @@
         None => None,
     };
     let tasks = fleet.map(|file| Tasks::start(file, &config.name, &executors.clients));
-    let fleet = Fleet { tasks, missing };
+    let fleet = Fleet { tasks, negative_cache: missing };
     let runtime =
         Runtime::start(config, Sockets { clients, operators }, hot_restart, fleet, executors.clone());
     let operators = executors.operators.run(future::pending());
--- a/proxy/src/lifecycle/signals.rs
+++ b/proxy/src/lifecycle/signals.rs
@@ -162,7 +162,7 @@
         }
         Timer::after(Duration::from_millis(5)).await;
     }
-    let (clients, owed) = (runtime.clients_open(), runtime.owed());
+    let (clients, owed) = (runtime.clients_open(), runtime.requests_in_flight());
     if owed > 0 {
         log::error!(owed, clients; "stopped with {owed} requests unanswered on {clients} connections");
     } else {
--- a/proxy/src/wire/backend.rs
+++ b/proxy/src/wire/backend.rs
@@ -81,7 +81,7 @@
         match self.decode(bytes, &mut parts) {
             Ok(()) => {}
             Err(Malformed(_)) => {
-                parts.push(ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled)))
+                parts.push(ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled)));
             }
         }
         parts
@@ -101,7 +101,7 @@
         }
         self.reader.feed(rest);
         if matches!(self.state, State::Unknown) {
-            match self.reader.head(3)? {
+            match self.reader.peek_array(3)? {
                 Head::Unknown => return Ok(()),
                 Head::Other => self.state = State::Buffered,
                 Head::Bulk { length, .. } if length <= MAX_VALUE => self.state = State::Buffered,
@@ -111,14 +111,14 @@
                 Head::Bulk { length, at } => {
                     parts.push(ReplyPart::ValueStart(length));
                     self.reader.skip(at);
-                    let data = self.reader.take(length);
+                    let data = self.reader.take_bytes(length);
                     self.push_value_data(length, data, parts);
                 }
             }
         }
         let reply = match self.state {
             State::Streaming(_) => return Ok(()),
-            State::AfterValue => match self.reader.after_bulk(2)?.as_deref() {
+            State::AfterValue => match self.reader.values_after_bulk(2)?.as_deref() {
                 // The load report is not interpreted.
                 Some([Value::Bulk(_), _]) => Reply::without_value(AttemptOutcome::Served),
                 Some(_) => return Err(Malformed("no reply")),
--- a/proxy/src/wire/backend/tests.rs
+++ b/proxy/src/wire/backend/tests.rs
@@ -45,8 +45,8 @@
     assert_eq!(outcome_of(with_surplus), Some((AttemptOutcome::Served, false)));
 }
 
-/// Decodes a reply with a large value that is fed in parts ending at `ends`. Returns the streamed bytes, and the outcome
-/// and `reusable` if the reply is complete.
+/// Decodes a reply with a large value that is fed in parts ending at `ends`. Returns the streamed bytes, and the
+/// outcome and `reusable` if the reply is complete.
 fn decode_large_reply(bytes: &[u8], ends: &[usize]) -> (Vec<u8>, Option<(AttemptOutcome, bool)>) {
     let (mut decoder, mut data, mut outcome, mut at) = (Decoder::default(), Vec::new(), None, 0);
     for &end in ends.iter().chain([&bytes.len()]) {
--- a/proxy/src/wire/client_session.rs
+++ b/proxy/src/wire/client_session.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Returns the next complete command. Invalid commands are answered with `-ERR` here; after bytes that are not RESP,
-    /// the session closes as well.
+    /// Returns the next complete command. Invalid commands are answered with `-ERR` here; after bytes that are not
+    /// RESP, the session closes as well.
     pub fn next_event(&mut self) -> Option<SessionEvent> {
         loop {
             if self.closing {
@@ -87,7 +87,7 @@
                 }
                 Err(malformed) => {
                     if let Some((words, length, at)) =
-                        self.reader.large_last(SET_COMMAND_WORDS, MAX_STREAMED_VALUE)
+                        self.reader.peek_large_last_word(SET_COMMAND_WORDS, MAX_STREAMED_VALUE)
                     {
                         // An incomplete command takes no reply slot until this many bytes have arrived.
                         if self.reader.pending() < at + MAX_VALUE {
@@ -141,10 +141,10 @@
     /// Moves received bytes into the streamed value. Returns false until the value is complete.
     fn receive_streamed(&mut self) -> Result<bool, Malformed> {
         let Some(incoming) = &mut self.incoming else { return Ok(true) };
-        let data = self.reader.take(incoming.remaining.min(incoming.streamed.room()));
+        let data = self.reader.take_bytes(incoming.remaining.min(incoming.streamed.available()));
         incoming.streamed.push(&data);
         incoming.remaining -= data.len();
-        if incoming.remaining > 0 || self.reader.end_of_bulk()?.is_none() {
+        if incoming.remaining > 0 || self.reader.skip_bulk_end()?.is_none() {
             return Ok(false);
         }
         incoming.streamed.finish();
@@ -153,7 +153,7 @@
         Ok(true)
     }
 
-    /// The large value that is being received. No more of it is read while [`StreamedValue::room`] is 0.
+    /// The large value that is being received. No more of it is read while [`StreamedValue::available`] is 0.
     pub fn incoming(&self) -> Option<Rc<StreamedValue>> {
         self.incoming.as_ref().map(|i| Rc::clone(&i.streamed))
     }
@@ -268,7 +268,8 @@
         self.commands_received
     }
 
-    /// Accepts no further commands. A command that was received in part is still completed, but no byte after it is read.
+    /// Accepts no further commands. A command that was received in part is still completed, but no byte after it is
+    /// read.
     pub fn finish(&mut self) {
         self.finishing = true;
         self.close_if_no_partial_command();
@@ -280,8 +281,8 @@
         }
     }
 
-    /// Maximum number of bytes to read from the socket next. After [`ClientSession::finish`], bytes behind the last accepted
-    /// command stay in the socket.
+    /// Maximum number of bytes to read from the socket next. After [`ClientSession::finish`], bytes behind the last
+    /// accepted command stay in the socket.
     pub fn max_read_bytes(&self) -> usize {
         if !self.finishing {
             return usize::MAX;
@@ -289,11 +290,11 @@
         if let Some(incoming) = &self.incoming {
             return (incoming.remaining + BULK_TERMINATOR_BYTES).saturating_sub(self.unparsed_bytes()).max(1);
         }
-        match self.reader.large_last(SET_COMMAND_WORDS, MAX_STREAMED_VALUE) {
+        match self.reader.peek_large_last_word(SET_COMMAND_WORDS, MAX_STREAMED_VALUE) {
             Some((_, length, at)) => {
                 (at + length + BULK_TERMINATOR_BYTES).saturating_sub(self.unparsed_bytes()).max(1)
             }
-            None => self.reader.missing(),
+            None => self.reader.bytes_needed(),
         }
     }
 
--- a/proxy/src/wire/command.rs
+++ b/proxy/src/wire/command.rs
@@ -83,7 +83,8 @@
     }
 }
 
-/// Whether a word can be used in an HTTP header or path. Control characters would allow header injection at the origin.
+/// Whether a word can be used in an HTTP header or path. Control characters would allow header injection at the
+/// origin.
 fn is_header_safe(word: &[u8]) -> bool {
     (1..=MAX_ARGUMENT_BYTES).contains(&word.len()) && word.iter().all(|&b| b > b' ' && b != 0x7f)
 }
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -1,5 +1,5 @@
-//! Admin server: accepts connections, reads one request from each and answers it. Its tasks run on a separate executor
-//! that takes precedence over the one for clients.
+//! Admin server: accepts connections, reads one request from each and answers it. Its tasks run on a separate
+//! executor that takes precedence over the one for clients.
 
 use super::Runtime;
 use crate::net::Listener;
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Maximum number of open admin connections, for which descriptors are reserved. At the limit, a new connection evicts
-/// the oldest one that has not sent a request.
+/// Maximum number of open admin connections, for which descriptors are reserved. At the limit, a new connection
+/// evicts the oldest one that has not sent a request.
 const MAX_CONNECTIONS: usize = 12;
 /// Timeout for reading a request, and for writing its reply.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Limits on reading further input after the reply. Closing a socket with unread bytes resets it, and the reply may be
-/// lost.
+/// Limits on reading further input after the reply. Closing a socket with unread bytes resets it, and the reply may
+/// be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 const MAX_LINGER_BYTES: usize = 64 * 1024;
 /// Maximum waits for another process to finish writing a change, and to apply this one. Callers time out after 1 s.
@@ -119,8 +119,8 @@
     Reply::text(500, "cannot save the drain state, nothing changed")
 }
 
-/// Drains a backend or ends its drain. Saves the change for a later process first, then applies it here, and waits for
-/// other processes of this proxy to apply it before it replies.
+/// Drains a backend or ends its drain. Saves the change for a later process first, then applies it here, and waits
+/// for other processes of this proxy to apply it before it replies.
 async fn set_drained(runtime: &Rc<Runtime>, backend: &str, drained: bool) -> Reply {
     let (action, state) = if drained { ("detach", "out") } else { ("attach", "back") };
     let warmup = runtime.network.warmup;
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -18,7 +18,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum pause within a buffered reply. A stalled attempt ends early enough for a retry before the client's deadline.
+/// Maximum pause within a buffered reply. A stalled attempt ends early enough for a retry before the client's
+/// deadline.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum pause while a value is relayed in either direction. A relayed transfer cannot be retried.
 const RELAY_STALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -30,20 +31,20 @@
 }
 
 impl LargeReplyShare<'_> {
-    /// Accounts for the bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns false
-    /// if the limit is exceeded.
+    /// Accounts for the bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns
+    /// false if the limit is exceeded.
     fn try_grow(&mut self, received: usize) -> bool {
         let bytes = received.saturating_sub(MAX_VALUE);
-        let all = self.runtime.large.get() - self.bytes + bytes;
+        let all = self.runtime.large_reply_bytes.get() - self.bytes + bytes;
         self.bytes = bytes;
-        self.runtime.large.set(all);
+        self.runtime.large_reply_bytes.set(all);
         all <= self.runtime.room.get().large || bytes == 0
     }
 }
 
 impl Drop for LargeReplyShare<'_> {
     fn drop(&mut self) {
-        self.runtime.large.set(self.runtime.large.get() - self.bytes);
+        self.runtime.large_reply_bytes.set(self.runtime.large_reply_bytes.get() - self.bytes);
     }
 }
 
@@ -149,7 +150,7 @@
     if let Some(task) = runtime.attempts_in_flight.borrow_mut().remove(&attempt_id) {
         task.detach();
     }
-    if let Some(negative_cache) = runtime.missing.as_ref().filter(|_| command.value_len().is_some()) {
+    if let Some(negative_cache) = runtime.negative_cache.as_ref().filter(|_| command.value_len().is_some()) {
         // A served write was invalidated before its receipt. Any other write that was sent may have been executed.
         if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
         {
@@ -172,7 +173,7 @@
     match &attempt.command.streamed {
         // The deadline of a streamed write starts when its last byte was received.
         Some(streamed) => {
-            streamed.until_whole().await;
+            streamed.wait_complete().await;
             let wait = give_up_at.saturating_sub(started_at);
             let wait = wait.min(attempt.command.wait).min(runtime.network.max_request_time());
             Timer::after(Duration::from_micros(wait)).await;
@@ -210,7 +211,7 @@
     else {
         return Reply::without_value(AttemptOutcome::NotSent);
     };
-    let negative_cache = runtime.missing.as_ref().filter(|_| is_origin);
+    let negative_cache = runtime.negative_cache.as_ref().filter(|_| is_origin);
     let lookup = match negative_cache.filter(|_| command.value_len().is_none()) {
         Some(negative_cache) => match negative_cache.lookup(&command.key).await {
             KeyLookup::KnownMissing => return Reply::without_value(AttemptOutcome::Absent),
@@ -237,7 +238,7 @@
     };
     let written = match &command.streamed {
         None => write(&connection, &bytes, &progress.sent).await,
-        Some(streamed) if streamed.untouched() => {
+        Some(streamed) if streamed.is_unsent() => {
             let tail: &[u8] = if is_origin { b"" } else { b"\r\n" };
             write_streamed(&connection, &bytes, streamed, tail, &progress.sent).await
         }
@@ -260,7 +261,7 @@
     }
     match (negative_cache, lookup, reply.outcome) {
         (Some(negative_cache), Some(lookup), AttemptOutcome::Absent) => {
-            negative_cache.insert(&command.key, lookup)
+            negative_cache.insert(&command.key, lookup);
         }
         (Some(negative_cache), None, AttemptOutcome::Served) => {
             // Before the receipt is returned, no proxy may report the key as missing any more.
@@ -279,9 +280,9 @@
 }
 
 impl Runtime {
-    /// Checks again whether the command may be written, since getting a connection took time. Returns the outcome of the
-    /// attempt if the client has left, the request is answered, the server was drained or restarted, or `begin_by` has
-    /// passed.
+    /// Checks again whether the command may be written, since getting a connection took time. Returns the outcome of
+    /// the attempt if the client has left, the request is answered, the server was drained or restarted, or
+    /// `begin_by` has passed.
     fn check_before_write(
         self: &Rc<Self>,
         attempt_id: AttemptId,
@@ -323,7 +324,7 @@
         };
         future::or(write(connection, &bytes, &unfinished), stalled).await?;
         bytes = loop {
-            let changed = streamed.change_of();
+            let changed = streamed.changed();
             match streamed.next() {
                 NextChunk::Bytes(bytes) => break bytes,
                 NextChunk::Wait => changed.await,
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -18,8 +18,8 @@
 
 /// Accepts connections until the task is dropped.
 pub async fn accept(runtime: Rc<Runtime>, listener: Rc<Listener>) {
-    // Start of the current shortage. It spans consecutive accepts, so that only the first client waits for the stricter
-    // eviction levels.
+    // Start of the current shortage. It spans consecutive accepts, so that only the first client waits for the
+    // stricter eviction levels.
     let mut shortage_since = None;
     loop {
         // Takes a descriptor before accepting: a connection that cannot be served stays in the backlog.
@@ -27,16 +27,16 @@
             match runtime.client_budget.take() {
                 Some(ticket) => break ticket,
                 None => {
-                    runtime.short.set(true);
+                    runtime.descriptors_short.set(true);
                     let now = runtime.clock.now();
                     runtime.retire_idle(Some(now.saturating_sub(*shortage_since.get_or_insert(now))));
                     Timer::after(DESCRIPTOR_RETRY_PAUSE).await;
                 }
             }
         };
-        runtime.short.set(false);
-        // A load balancer in front may allow fewer connections than this budget, so idle connections are retired before
-        // the budget is exhausted.
+        runtime.descriptors_short.set(false);
+        // A load balancer in front may allow fewer connections than this budget, so idle connections are retired
+        // before the budget is exhausted.
         if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
             runtime.retire_idle(None);
         }
@@ -62,9 +62,9 @@
         last_active: Cell::new(runtime.clock.now()),
         partial_since: Cell::new(0),
         relay_ready: Rc::default(),
-        unsent: Rc::clone(&runtime.unsent),
+        unsent_reply_bytes: Rc::clone(&runtime.unsent_reply_bytes),
         unsent_share: Cell::new(0),
-        half_read: Rc::clone(&runtime.half_read),
+        partial_command_bytes: Rc::clone(&runtime.partial_command_bytes),
         partial_share: Cell::new(0),
         last_progress: Cell::new(0),
     });
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -11,8 +11,8 @@
 const COMMAND_TIMEOUT: Micros = 2_300_000;
 /// Write timeout for stalled clients while unsent replies use at least half of the request limit.
 const CROWDED_STALL_TIMEOUT: Micros = 1_000_000;
-/// Idle times after which connections without a pending request may be closed when descriptors are short: after at least
-/// one command, with an incomplete command, and without any byte received.
+/// Idle times after which connections without a pending request may be closed when descriptors are short: after at
+/// least one command, with an incomplete command, and without any byte received.
 const IDLE_TIMEOUT: Micros = 2_000_000;
 const HALF_COMMAND_TIMEOUT: Micros = 1_000_000;
 const FIRST_BYTE_TIMEOUT: Micros = 20_000;
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Disconnects clients that do not read their replies while unsent replies use at least half of the request limit.
-    /// Otherwise a few such clients would block all new requests.
+    /// Disconnects clients that do not read their replies while unsent replies use at least half of the request
+    /// limit. Otherwise a few such clients would block all new requests.
     pub(in crate::wire::driver) fn disconnect_stalled(&self) {
-        if self.unsent.get() / MAX_VALUE * 2 < self.room.get().taken {
+        if self.unsent_reply_bytes.get() / MAX_VALUE * 2 < self.room.get().taken {
             return;
         }
         let now = self.clock.now();
@@ -104,7 +104,7 @@
 
     /// Closes the connections with the oldest incomplete commands until these fit into their memory limit.
     pub(super) fn evict_partial_commands(&self) {
-        while self.half_read.get() > self.room.get().half_read {
+        while self.partial_command_bytes.get() > self.room.get().half_read {
             let clients = self.clients.borrow();
             // Complete commands that wait for admission are excluded.
             let partial = clients.values().filter(|c| c.partial_share.get() > 0 && c.partial_since.get() > 0);
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -27,8 +27,8 @@
 
 /// Limit on unsent bytes of a relayed reply; above it, no more is read from the server.
 const MAX_UNSENT_RELAYED: usize = MAX_VALUE / 2;
-/// How often the connection is polled for a disconnect while it is not read. No attempt may start for a client that left
-/// 100 ms ago.
+/// How often the connection is polled for a disconnect while it is not read. No attempt may start for a client that
+/// left 100 ms ago.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Idle time after which a new connection is assumed to have no first command in flight.
 const FIRST_COMMAND_IN_FLIGHT: Micros = 20_000;
@@ -49,10 +49,10 @@
     /// Notified when more of a relayed reply can be accepted, or the connection has ended.
     relay_ready: Rc<Event>,
     /// Bytes of unsent replies on all connections, and this connection's share.
-    unsent: Rc<Cell<usize>>,
+    unsent_reply_bytes: Rc<Cell<usize>>,
     unsent_share: Cell<usize>,
     /// Bytes of incomplete commands on all connections, and this connection's share.
-    half_read: Rc<Cell<usize>>,
+    partial_command_bytes: Rc<Cell<usize>>,
     partial_share: Cell<usize>,
     /// Time of the last write progress, or when replies last began to queue.
     last_progress: Cell<Micros>,
@@ -60,8 +60,9 @@
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.unsent.set(self.unsent.get().saturating_sub(self.unsent_share.get()));
-        self.half_read.set(self.half_read.get().saturating_sub(self.partial_share.get()));
+        self.unsent_reply_bytes.set(self.unsent_reply_bytes.get().saturating_sub(self.unsent_share.get()));
+        self.partial_command_bytes
+            .set(self.partial_command_bytes.get().saturating_sub(self.partial_share.get()));
     }
 }
 
@@ -90,7 +91,8 @@
         future::or(async { Some(future.await) }, left).await
     }
 
-    /// Whether the connection can be closed when it has no pending request: false if its first request may be in flight.
+    /// Whether the connection can be closed when it has no pending request: false if its first request may be in
+    /// flight.
     fn can_close_idle(&self, now: Micros) -> bool {
         self.session.borrow().commands_received() > 0
             || self.last_active.get() + FIRST_COMMAND_IN_FLIGHT <= now
@@ -113,10 +115,10 @@
             let session = self.session.borrow();
             (session.replies().unsent_bytes(), session.unparsed_bytes())
         };
-        let others = self.unsent.get().saturating_sub(self.unsent_share.replace(waiting));
-        self.unsent.set(others + waiting);
-        let others = self.half_read.get().saturating_sub(self.partial_share.replace(partial));
-        self.half_read.set(others + partial);
+        let others = self.unsent_reply_bytes.get().saturating_sub(self.unsent_share.replace(waiting));
+        self.unsent_reply_bytes.set(others + waiting);
+        let others = self.partial_command_bytes.get().saturating_sub(self.partial_share.replace(partial));
+        self.partial_command_bytes.set(others + partial);
     }
 
     fn flush(&self, now: Micros) {
@@ -182,8 +184,8 @@
 }
 
 impl Runtime {
-    /// Waits until a reply can be relayed to its client. Returns false if the client has disconnected or the reply was cut
-    /// off.
+    /// Waits until a reply can be relayed to its client. Returns false if the client has disconnected or the reply
+    /// was cut off.
     pub(super) async fn relay_ready(&self, slot: ReplySlot) -> bool {
         loop {
             let Some(client) = self.clients.borrow().get(&slot.connection).map(Rc::clone) else {
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -80,7 +80,8 @@
     read_at: Micros,
 ) -> ControlFlow<ConnectionEnd> {
     loop {
-        // If a relayed reply is cut off, the connection closes. Commands behind it are not accepted until it is complete.
+        // If a relayed reply is cut off, the connection closes. Commands behind it are not accepted until it is
+        // complete.
         let relay_done = client.unless_left(async {
             while client.session.borrow().replies().has_relay() {
                 client.relay_ready.listen().await;
@@ -113,13 +114,13 @@
     }
 }
 
-/// Waits while the buffer of a streamed value is full; returns true if it had to wait. Time spent waiting for the origin
-/// does not count towards the client's command timeout.
+/// Waits while the buffer of a streamed value is full; returns true if it had to wait. Time spent waiting for the
+/// origin does not count towards the client's command timeout.
 async fn wait_for_stream_buffer(client: &Client) -> ControlFlow<ConnectionEnd, bool> {
     let incoming = client.session.borrow().incoming();
-    let Some(streamed) = incoming.filter(|s| s.room() == 0) else { return ControlFlow::Continue(false) };
+    let Some(streamed) = incoming.filter(|s| s.available() == 0) else { return ControlFlow::Continue(false) };
     client.partial_since.set(0);
-    match client.unless_left(streamed.change_of()).await {
+    match client.unless_left(streamed.changed()).await {
         Some(()) => ControlFlow::Continue(true),
         None => ControlFlow::Break(ConnectionEnd::ClientLeft),
     }
@@ -159,10 +160,10 @@
 }
 
 impl Runtime {
-    /// Whether another request can be admitted. Each one, and each [`MAX_VALUE`] of unsent replies, counts as one towards
-    /// the request limit.
+    /// Whether another request can be admitted. Each one, and each [`MAX_VALUE`] of unsent replies, counts as one
+    /// towards the request limit.
     fn can_admit(&self) -> bool {
-        self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().taken
+        self.proxy.borrow().holds() + self.unsent_reply_bytes.get() / MAX_VALUE < self.room.get().taken
     }
 }
 
--- a/proxy/src/wire/driver/client/writer.rs
+++ b/proxy/src/wire/driver/client/writer.rs
@@ -64,7 +64,7 @@
         let until = Instant::now() + LINGER_TIMEOUT;
         while Instant::now() < until {
             Timer::after(LINGER_TIMEOUT_CROWDED).await;
-            if runtime.short.get() {
+            if runtime.descriptors_short.get() {
                 return;
             }
         }
--- a/proxy/src/wire/driver/connection.rs
+++ b/proxy/src/wire/driver/connection.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Retries of a connect that failed for a local reason or a network path error. Such failures are usually short, and the
-/// server has not seen the attempt.
-pub(super) const CONNECT_RETRIES: u32 = 3;
+/// Retries of a connect that failed for a local reason or a network path error. Such failures are usually short, and
+/// the server has not seen the attempt.
+pub(super) const MAX_CONNECT_RETRIES: u32 = 3;
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// A connection to a server.
@@ -24,8 +24,8 @@
 }
 
 impl Connection {
-    /// Whether an idle connection is open and has no unread input. Unexpected input would be taken for the reply to the next
-    /// command.
+    /// Whether an idle connection is open and has no unread input. Unexpected input would be taken for the reply to
+    /// the next command.
     pub fn alive(&self) -> bool {
         matches!(self.io.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
@@ -57,13 +57,13 @@
 async fn connect(runtime: &Rc<Runtime>, endpoint: SocketAddr) -> Result<Connection, AttemptOutcome> {
     let ticket = runtime.upstream_ticket().ok_or(AttemptOutcome::NotSent)?;
     runtime.proxy.borrow_mut().counters.opened += 1;
-    let until = Instant::now() + Duration::from_micros(runtime.network.connect_timeout);
+    let deadline = Instant::now() + Duration::from_micros(runtime.network.connect_timeout);
     let mut retries = 0;
-    let mut failed: Option<ConnectError> = None;
+    let mut local_failure: Option<ConnectError> = None;
     loop {
         let connected = async { Some(net::connect(endpoint).await) };
         let timed_out = async {
-            Timer::at(until).await;
+            Timer::at(deadline).await;
             None
         };
         let error = match future::or(connected, timed_out).await {
@@ -74,22 +74,22 @@
             Some(Err(error)) => error,
             // If the timeout was spent on retries of a local failure, that failure is reported, not a timeout.
             None => {
-                return Err(match failed {
-                    Some(error) => runtime.connect_failed(endpoint, &error),
+                return Err(match local_failure {
+                    Some(error) => runtime.connect_failure_outcome(endpoint, &error),
                     None => AttemptOutcome::ConnectTimedOut,
                 })
             }
         };
-        let again = matches!(error.fault(), Fault::Local | Fault::Path) && retries < CONNECT_RETRIES;
-        if !again {
-            return Err(runtime.connect_failed(endpoint, &error));
+        let retryable = matches!(error.fault(), Fault::Local | Fault::Path) && retries < MAX_CONNECT_RETRIES;
+        if !retryable {
+            return Err(runtime.connect_failure_outcome(endpoint, &error));
         }
         retries += 1;
         // Closing an idle connection frees a descriptor, so no pause is needed.
         if !(error.lacks_descriptor() && runtime.pools.borrow_mut().evict()) {
             Timer::after(CONNECT_RETRY_PAUSE).await;
         }
-        failed = Some(error);
+        local_failure = Some(error);
     }
 }
 
@@ -111,20 +111,20 @@
         None
     }
 
-    /// Returns the outcome of an attempt whose connect failed. Only failures caused by the endpoint count against it; others
-    /// are reported as not sent.
-    fn connect_failed(&self, endpoint: SocketAddr, error: &ConnectError) -> AttemptOutcome {
-        let ending = match error.fault() {
+    /// Returns the outcome of an attempt whose connect failed. Only failures caused by the endpoint count against it;
+    /// others are reported as not sent.
+    fn connect_failure_outcome(&self, endpoint: SocketAddr, error: &ConnectError) -> AttemptOutcome {
+        let outcome = match error.fault() {
             Fault::Peer => return AttemptOutcome::ConnectRefused,
             Fault::PeerTimedOut => return AttemptOutcome::ConnectTimedOut,
             Fault::Path if self.reachability.borrow_mut().failed(endpoint) => AttemptOutcome::ConnectRefused,
             Fault::Path | Fault::Local => AttemptOutcome::NotSent,
         };
-        let times = self.connect_faults.get() + 1;
-        self.connect_faults.set(times);
+        let times = self.connect_failures.get() + 1;
+        self.connect_failures.set(times);
         if times.is_power_of_two() {
             log::warn!(times; "local or network failure while connecting to {endpoint} ({times} such failures so far): {error}");
         }
-        ending
+        outcome
     }
 }
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -13,15 +13,16 @@
 /// Listen backlog.
 const BACKLOG: i32 = 1024;
 /// How often the shared state is read: as the only process, and next to others.
-const LOOK: Duration = Duration::from_millis(100);
-const LOOK_CLOSELY: Duration = Duration::from_millis(10);
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const SHARED_STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Poll interval while waiting to listen, and for room while the accept queue is emptied.
-const READY_YET: Duration = Duration::from_millis(5);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Connections accepted beyond the budget while the accept queue is emptied, and the maximum wait for room for more.
-const OVERDRAFT: usize = 12;
-const EMPTYING: Duration = Duration::from_millis(200);
+const MAX_OVERDRAFT_CONNECTIONS: usize = 12;
+const QUEUE_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Binds the client address with `SO_REUSEPORT`, without listening yet. Another process of this proxy may be bound to it.
+/// Binds the client address with `SO_REUSEPORT`, without listening yet. Another process of this proxy may be bound to
+/// it.
 pub fn bind(address: SocketAddr) -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -31,11 +32,11 @@
 }
 
 impl Runtime {
-    /// Listens and accepts clients until the task is dropped. Starts immediately if there is no other process, else once
-    /// clients can be served. The kernel distributes new connections among the listening processes.
-    pub(super) async fn open(self: Rc<Self>, socket: Socket) {
-        while !self.able() && !self.other_processes().is_empty() {
-            Timer::after(READY_YET).await;
+    /// Listens and accepts clients until the task is dropped. Starts immediately if there is no other process, else
+    /// once clients can be served. The kernel distributes new connections among the listening processes.
+    pub(super) async fn listen_and_accept(self: Rc<Self>, socket: Socket) {
+        while !self.can_serve() && !self.other_processes().is_empty() {
+            Timer::after(READY_POLL_INTERVAL).await;
         }
         let listener =
             socket.listen(BACKLOG).and_then(|()| Listener::new(TcpListener::from(socket))).map(Rc::new);
@@ -64,8 +65,8 @@
         self.other_processes().iter().any(|other| other.open)
     }
 
-    /// Applies the drain state and reports that to the other processes. Returns the version of the state, or 0 without hot
-    /// restart.
+    /// Applies the drain state and reports that to the other processes. Returns the version of the state, or 0
+    /// without hot restart.
     pub(super) fn apply_state(self: &Rc<Self>) -> u64 {
         let Some(state) = self.hot_restart.borrow().as_ref().map(|h| h.state.clone()) else { return 0 };
         let drains = AdministrativeDrains {
@@ -79,12 +80,12 @@
         state.serial
     }
 
-    /// Follows drain changes by other processes and the number of processes. `processes` is the initial number, for which
-    /// the limits were divided.
+    /// Follows drain changes by other processes and the number of processes. `processes` is the initial number, for
+    /// which the limits were divided.
     pub(super) async fn run_hot_restart(self: Rc<Self>, mut processes: usize) {
-        let mut told = String::new();
+        let mut logged_error = String::new();
         loop {
-            Timer::after(if processes > 1 { LOOK_CLOSELY } else { LOOK }).await;
+            Timer::after(if processes > 1 { SHARED_STATE_POLL_INTERVAL } else { STATE_POLL_INTERVAL }).await;
             let refreshed = match self.hot_restart.borrow_mut().as_mut() {
                 Some(hot_restart) => hot_restart.refresh(),
                 None => return,
@@ -95,23 +96,23 @@
                 }
                 Ok(false) => {}
                 // Logged once per distinct error.
-                Err(why) if why.to_string() == told => {}
-                Err(why) => {
-                    log::error!("hot restart: cannot read the state, keeping the current one: {why}");
-                    told = why.to_string();
+                Err(error) if error.to_string() == logged_error => {}
+                Err(error) => {
+                    log::error!("hot restart: cannot read the state, keeping the current one: {error}");
+                    logged_error = error.to_string();
                 }
             }
-            let now = 1 + self.other_processes().len();
-            if now != processes {
-                log::info!(processes = now; "hot restart: {now} processes, was {processes}");
-                processes = now;
-                self.share(processes);
+            let current = 1 + self.other_processes().len();
+            if current != processes {
+                log::info!(processes = current; "hot restart: {current} processes, was {processes}");
+                processes = current;
+                self.apply_share(processes);
             }
         }
     }
 
     /// Applies this process's share of the limits among `processes` processes.
-    fn share(&self, processes: usize) {
+    fn apply_share(&self, processes: usize) {
         let room = self.limits.room(processes);
         self.room.set(room);
         self.client_budget.resize(room.clients);
@@ -119,32 +120,32 @@
         while self.upstream_budget.used() > room.upstream && self.pools.borrow_mut().evict() {}
     }
 
-    /// Stops accepting connections. Empties the accept queue first, because closing the listener resets the connections in
-    /// it, with the requests already sent on them.
+    /// Stops accepting connections. Empties the accept queue first, because closing the listener resets the
+    /// connections in it, with the requests already sent on them.
     pub async fn stop_accepting(self: &Rc<Self>) {
         self.acceptor.replace(None);
-        let until = Instant::now() + EMPTYING;
+        let deadline = Instant::now() + QUEUE_DRAIN_TIMEOUT;
         let Some(listener) = self.listener.replace(None) else { return };
-        let mut lost = 0;
+        let mut aborted = 0;
         loop {
-            let in_time = Instant::now() < until;
-            let room = self.client_budget.used() < self.client_budget.most() + OVERDRAFT;
+            let in_time = Instant::now() < deadline;
+            let room = self.client_budget.used() < self.client_budget.most() + MAX_OVERDRAFT_CONNECTIONS;
             if !room && in_time {
                 self.retire_idle(Some(0));
-                Timer::after(READY_YET).await;
+                Timer::after(READY_POLL_INTERVAL).await;
                 continue;
             }
             match listener.queued() {
                 Queued::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
                 // A queued connection was aborted; the ones behind it can still be accepted.
-                Queued::Lost(error) if lost < BACKLOG => {
+                Queued::Lost(error) if aborted < BACKLOG => {
                     self.accept_failed(&error);
-                    lost += 1;
+                    aborted += 1;
                 }
                 // Descriptors or memory are short; retries until others are freed.
                 Queued::Shortage(error) if in_time => {
                     self.accept_failed(&error);
-                    Timer::after(READY_YET).await;
+                    Timer::after(READY_POLL_INTERVAL).await;
                 }
                 Queued::Lost(error) | Queued::Shortage(error) => {
                     log::warn!("acceptor: closed with connections left in the queue: {error}");
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -38,11 +38,11 @@
 use std::time::Duration;
 
 /// Interval between checks for idle, expired and stalled connections.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Time to wait for discovery at the start. After it, the proxy serves with the endpoint list from its configuration.
-const FIRST_LIST: Duration = Duration::from_millis(1500);
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Poll interval of discovery if the settings describe pushed updates.
-const PUSHED_ASK_EVERY: Micros = 10_000_000;
+const DEFAULT_POLL_INTERVAL_US: Micros = 10_000_000;
 
 /// The sockets that a process starts with.
 pub struct Sockets {
@@ -67,7 +67,7 @@
     /// Tasks of the lease group, and configuration versions.
     pub tasks: Option<Rc<Tasks>>,
     /// Negative cache of keys missing at the origin.
-    pub missing: Option<Rc<NegativeCache>>,
+    pub negative_cache: Option<Rc<NegativeCache>>,
 }
 
 /// State shared by all tasks.
@@ -95,27 +95,27 @@
     /// Endpoints with recent path failures.
     reachability: RefCell<Reachability>,
     /// Number of connects that failed for a local reason or a network path error.
-    connect_faults: Cell<u64>,
+    connect_failures: Cell<u64>,
     /// Whether clients wait for a descriptor.
-    short: Cell<bool>,
+    descriptors_short: Cell<bool>,
     limits: Limits,
     /// This process's share of `limits`.
     room: Cell<Room>,
     /// Bytes of incomplete commands on all client connections.
-    half_read: Rc<Cell<usize>>,
+    partial_command_bytes: Rc<Cell<usize>>,
     /// Bytes of unsent replies on all client connections.
-    unsent: Rc<Cell<usize>>,
+    unsent_reply_bytes: Rc<Cell<usize>>,
     /// Bytes of replies being read, beyond [`MAX_VALUE`](super::MAX_VALUE) each.
-    large: Cell<usize>,
+    large_reply_bytes: Cell<usize>,
     /// Next wake-up of the timer task; [`Micros::MAX`] if none is set.
-    armed: Cell<Micros>,
+    next_wakeup: Cell<Micros>,
     rearm: (Sender<()>, Receiver<()>),
-    heard: Cell<bool>,
+    discovery_ready: Cell<bool>,
     stopping: Cell<bool>,
     /// Tasks of the lease group, if configured.
     tasks: Option<Rc<Tasks>>,
     /// Negative cache, if configured.
-    missing: Option<Rc<NegativeCache>>,
+    negative_cache: Option<Rc<NegativeCache>>,
 }
 
 impl Runtime {
@@ -131,7 +131,7 @@
         let (mut settings, network) = (config.settings.settings(), config.settings.network());
         // Discovery pushes updates in the simulator only; over sockets the proxy has to watch.
         if settings.discovery == Discovery::Pushed {
-            settings.discovery = Discovery::OnRequest { poll_interval: PUSHED_ASK_EVERY };
+            settings.discovery = Discovery::OnRequest { poll_interval: DEFAULT_POLL_INTERVAL_US };
         }
         let proxy =
             Proxy::new(settings, config.settings.names(), config.policy, config.seed, clock.reading());
@@ -155,19 +155,19 @@
             client_budget: Budget::new(room.clients),
             upstream_budget: Budget::new(room.upstream),
             reachability: RefCell::default(),
-            connect_faults: Cell::new(0),
-            short: Cell::new(false),
+            connect_failures: Cell::new(0),
+            descriptors_short: Cell::new(false),
             limits: config.limits,
             room: Cell::new(room),
-            half_read: Rc::default(),
-            unsent: Rc::default(),
-            large: Cell::new(0),
-            armed: Cell::new(Micros::MAX),
+            partial_command_bytes: Rc::default(),
+            unsent_reply_bytes: Rc::default(),
+            large_reply_bytes: Cell::new(0),
+            next_wakeup: Cell::new(Micros::MAX),
             rearm: async_channel::bounded(1),
-            heard: Cell::new(false),
+            discovery_ready: Cell::new(false),
             stopping: Cell::new(false),
             tasks: fleet.tasks,
-            missing: fleet.missing,
+            negative_cache: fleet.negative_cache,
         });
         // The proxy starts its watch after the first endpoint update, even an empty one.
         let known = config.known.unwrap_or(crate::state::endpoints::Update {
@@ -183,16 +183,17 @@
         }
         runtime.spawn(Runtime::run_timers(Rc::clone(&runtime)));
         runtime.spawn(Runtime::run_sweeps(Rc::clone(&runtime)));
-        let first = Rc::clone(&runtime);
+        let shared = Rc::clone(&runtime);
         runtime.spawn(async move {
-            Timer::after(FIRST_LIST).await;
-            first.heard.set(true);
+            Timer::after(FIRST_UPDATE_TIMEOUT).await;
+            shared.discovery_ready.set(true);
         });
         if let Some(listener) = sockets.operators {
             runtime.operators.spawn(admin::accept(Rc::clone(&runtime), listener)).detach();
         }
         runtime.operators.spawn(Runtime::run_hot_restart(Rc::clone(&runtime), processes)).detach();
-        let acceptor = runtime.executor.spawn(Runtime::open(Rc::clone(&runtime), sockets.clients));
+        let acceptor =
+            runtime.executor.spawn(Runtime::listen_and_accept(Rc::clone(&runtime), sockets.clients));
         runtime.acceptor.replace(Some(acceptor));
         runtime
     }
@@ -201,18 +202,18 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Applies `happen` to the proxy and executes the commands that result.
-    fn drive<R>(self: &Rc<Self>, happen: impl FnOnce(&mut Proxy<BackendCommand>, Micros) -> R) -> R {
+    /// Applies `apply` to the proxy and executes the commands that result.
+    fn drive<R>(self: &Rc<Self>, apply: impl FnOnce(&mut Proxy<BackendCommand>, Micros) -> R) -> R {
         let now = self.clock.now();
         let (result, commands, due) = {
             let mut proxy = self.proxy.borrow_mut();
-            let result = happen(&mut proxy, now);
+            let result = apply(&mut proxy, now);
             (result, proxy.take_commands(), proxy.next_due())
         };
         for command in commands {
             self.execute(command);
         }
-        if due.is_some_and(|due| due < self.armed.get()) {
+        if due.is_some_and(|due| due < self.next_wakeup.get()) {
             // A full channel means that a wake-up is already pending.
             let _ = self.rearm.0.try_send(());
         }
@@ -241,24 +242,24 @@
             Command::Watch => {
                 // Keeps a watch that `move_discovery` has started.
                 if self.watch.borrow().is_none() {
-                    self.begin_watch();
+                    self.start_watch();
                 }
             }
             Command::DropConnections(server) => self.pools.borrow_mut().drop_server(server),
         }
     }
 
-    fn begin_watch(self: &Rc<Self>) {
+    fn start_watch(self: &Rc<Self>) {
         let task = self.executor.spawn(watch::run(Rc::clone(self)));
         // Replacing the task ends the previous watch.
         self.watch.replace(Some(task));
     }
 
-    /// Watches discovery at another address. Keeps the endpoint list; the new watch continues from its version. The watch is
-    /// restarted even if the address is unchanged.
+    /// Watches discovery at another address. Keeps the endpoint list; the new watch continues from its version. The
+    /// watch is restarted even if the address is unchanged.
     pub fn move_discovery(self: &Rc<Self>, discovery: SocketAddr) {
         self.discovery.set(discovery);
-        self.begin_watch();
+        self.start_watch();
     }
 
     /// Schedules the configuration versions that the lease group plans.
@@ -276,7 +277,7 @@
     async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.proxy.borrow().next_due();
-            self.armed.set(due.unwrap_or(Micros::MAX));
+            self.next_wakeup.set(due.unwrap_or(Micros::MAX));
             let timer = match due {
                 Some(due) => Timer::at(self.clock.instant(due)),
                 None => Timer::never(),
@@ -297,7 +298,7 @@
 
     async fn run_sweeps(self: Rc<Self>) {
         loop {
-            Timer::after(SWEEP).await;
+            Timer::after(SWEEP_INTERVAL).await;
             let now = self.clock.now();
             self.pools.borrow_mut().sweep(now, Connection::alive);
             self.expire_clients();
@@ -305,18 +306,19 @@
         }
     }
 
-    /// Whether requests can be served: discovery has answered or `FIRST_LIST` has passed, and a backend is listed.
-    fn able(&self) -> bool {
-        self.heard.get() && self.proxy.borrow().endpoints.lists_any()
+    /// Whether requests can be served: discovery has answered or `FIRST_UPDATE_TIMEOUT` has passed, and the endpoint
+    /// list has a backend in service.
+    fn can_serve(&self) -> bool {
+        self.discovery_ready.get() && self.proxy.borrow().endpoints.lists_any()
     }
 
     /// Whether load balancers should send clients to this process.
     pub fn ready(&self) -> bool {
-        self.able() && self.listener.borrow().is_some() && !self.stopping.get()
+        self.can_serve() && self.listener.borrow().is_some() && !self.stopping.get()
     }
 
     /// Number of requests in flight.
-    pub fn owed(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.proxy.borrow().owed()
     }
 
@@ -345,24 +347,24 @@
     }
 
     /// Logs the counters, as `name=n` in the text and as structured fields.
-    pub fn report(&self, what: &str) {
+    pub fn report(&self, title: &str) {
         let proxy = self.proxy.borrow();
-        let mut figures = proxy.counters.named();
+        let mut fields = proxy.counters.named();
         for (name, n) in [
             ("owed", proxy.owed()),
             ("clients", self.clients_open()),
             ("delegated", self.upstream_budget.used()),
         ] {
-            figures.push((name.to_owned(), n as u64));
+            fields.push((name.to_owned(), n as u64));
         }
-        let text: Vec<String> = figures.iter().map(|(name, n)| format!("{name}={n}")).collect();
+        let text: Vec<String> = fields.iter().map(|(name, n)| format!("{name}={n}")).collect();
         log::logger().log(
             &log::Record::builder()
                 .level(log::Level::Info)
                 .target(module_path!())
                 .module_path(Some(module_path!()))
-                .args(format_args!("{what}: {}", text.join(" ")))
-                .key_values(&figures)
+                .args(format_args!("{title}: {}", text.join(" ")))
+                .key_values(&fields)
                 .build(),
         );
     }
--- a/proxy/src/wire/driver/tests.rs
+++ b/proxy/src/wire/driver/tests.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of every read, so that a hanging test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const SETTINGS: &str = r#"{"balancers":1,"me":0,"grades":[
     {"name":"read","aim":750.0,"deadline":2000.0,"effect":"idempotent","points":2.0},
     {"name":"close","aim":300.0,"deadline":600.0,"effect":"at_most_once","points":8.0}],
@@ -27,7 +27,7 @@
     "obligations":{"askEvery":10000.0,"cold":8100.0,"coldFrom":0.31,"fallMultiple":4.0,"tipAfter":2000.0}}"#;
 
 /// Starts a server that answers each command or request with `value`.
-fn peer(value: &'static [u8]) -> SocketAddr {
+fn start_server(value: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -50,12 +50,12 @@
     address
 }
 
-fn cache() -> SocketAddr {
-    peer(b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n")
+fn start_cache() -> SocketAddr {
+    start_server(b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n")
 }
 
-fn origin() -> SocketAddr {
-    peer(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue")
+fn start_origin() -> SocketAddr {
+    start_server(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue")
 }
 
 fn config(caches: &[SocketAddr], origin: SocketAddr, discovery: SocketAddr) -> Config {
@@ -105,7 +105,7 @@
 impl Client {
     fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         Client { stream, reader: Reader::default() }
     }
 
@@ -130,7 +130,7 @@
 }
 
 /// Sends a request on a new connection and returns the answer.
-async fn ask(address: SocketAddr, write: bool) -> Option<Value> {
+async fn send_request(address: SocketAddr, write: bool) -> Option<Value> {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let id = format!("id{}", NEXT.fetch_add(1, Ordering::Relaxed));
     unblock(move || {
@@ -144,27 +144,28 @@
     .await
 }
 
-fn served() -> Option<Value> {
+fn served_value() -> Option<Value> {
     Some(Value::Bulk(Some(b"value".to_vec())))
 }
 
-fn refused(answer: &Option<Value>) -> bool {
+fn is_rejected(answer: &Option<Value>) -> bool {
     matches!(answer, Some(Value::Error(line)) if line.starts_with(b"BUSY"))
 }
 
 impl Runtime {
-    fn endings(&self, ending: AttemptOutcome) -> u64 {
-        self.proxy.borrow().counters.attempts_ended(ending)
+    fn attempts_with(&self, outcome: AttemptOutcome) -> u64 {
+        self.proxy.borrow().counters.attempts_ended(outcome)
     }
 
     /// Number of attempts that counted as connect failures of the server.
-    fn blamed(&self) -> u64 {
-        self.endings(AttemptOutcome::ConnectRefused) + self.endings(AttemptOutcome::ConnectTimedOut)
+    fn connect_failures(&self) -> u64 {
+        self.attempts_with(AttemptOutcome::ConnectRefused)
+            + self.attempts_with(AttemptOutcome::ConnectTimedOut)
     }
 }
 
 /// Local errors, with the system call that returns them.
-const LOCAL: [(SocketCall, Errno); 13] = [
+const LOCAL_ERRORS: [(SocketCall, Errno); 13] = [
     (SocketCall::Socket, Errno::MFILE),
     (SocketCall::Socket, Errno::NFILE),
     (SocketCall::Socket, Errno::NOBUFS),
@@ -180,7 +181,7 @@
     (SocketCall::Connect, Errno::INTR),
 ];
 /// Network path errors.
-const PATH: [(SocketCall, Errno); 4] = [
+const PATH_ERRORS: [(SocketCall, Errno); 4] = [
     (SocketCall::Connect, Errno::NETUNREACH),
     (SocketCall::Connect, Errno::HOSTUNREACH),
     (SocketCall::Connect, Errno::NETDOWN),
@@ -188,78 +189,95 @@
 ];
 
 #[test]
-fn trouble_of_this_machine_or_of_the_path_for_a_moment_costs_no_request_and_blames_nobody() {
-    for (call, error) in LOCAL.into_iter().chain(PATH) {
+fn short_local_or_path_errors_fail_no_request_and_count_against_no_server() {
+    for (call, error) in LOCAL_ERRORS.into_iter().chain(PATH_ERRORS) {
         for write in [false, true] {
-            with_proxy(&[cache()], origin(), |runtime, address| async move {
-                fail(call, error, super::connection::CONNECT_RETRIES as usize);
-                let answer = ask(address, write).await;
-                let what = format!("{call:?} {error:?}, write: {write}");
-                assert_eq!((answer, left(call)), (served(), 0), "{what}");
-                assert_eq!((runtime.blamed(), runtime.endings(AttemptOutcome::NotSent)), (0, 0), "{what}");
+            with_proxy(&[start_cache()], start_origin(), |runtime, address| async move {
+                fail(call, error, super::connection::MAX_CONNECT_RETRIES as usize);
+                let answer = send_request(address, write).await;
+                let context = format!("{call:?} {error:?}, write: {write}");
+                assert_eq!((answer, left(call)), (served_value(), 0), "{context}");
+                assert_eq!(
+                    (runtime.connect_failures(), runtime.attempts_with(AttemptOutcome::NotSent)),
+                    (0, 0),
+                    "{context}"
+                );
             });
         }
     }
 }
 
 #[test]
-fn trouble_of_this_machine_or_of_the_path_that_lasts_refuses_and_blames_nobody() {
-    for (call, error) in LOCAL.into_iter().chain(PATH).filter(|(_, error)| *error != Errno::INTR) {
-        with_proxy(&[cache()], origin(), |runtime, address| async move {
-            let what = format!("{call:?} {error:?}");
+fn lasting_local_or_path_errors_reject_requests_and_count_against_no_server() {
+    for (call, error) in
+        LOCAL_ERRORS.into_iter().chain(PATH_ERRORS).filter(|(_, error)| *error != Errno::INTR)
+    {
+        with_proxy(&[start_cache()], start_origin(), |runtime, address| async move {
+            let context = format!("{call:?} {error:?}");
             // Every connect fails.
             fail(call, error, 10_000);
             for n in 0..12 {
                 let write = n % 2 == 1;
-                let answer = ask(address, write).await;
-                assert!(refused(&answer), "{what}: expected a rejection: {answer:?}");
+                let answer = send_request(address, write).await;
+                assert!(is_rejected(&answer), "{context}: expected a rejection: {answer:?}");
             }
-            assert_eq!(runtime.blamed(), 0, "{what}");
-            assert!(runtime.endings(AttemptOutcome::NotSent) >= 12, "{what}");
+            assert_eq!(runtime.connect_failures(), 0, "{context}");
+            assert!(runtime.attempts_with(AttemptOutcome::NotSent) >= 12, "{context}");
             clear();
             // The congestion windows are unchanged and no backend is ejected.
             for _ in 0..4 {
-                assert_eq!(ask(address, false).await, served(), "{what}");
-                assert_eq!(ask(address, true).await, served(), "{what}");
+                assert_eq!(send_request(address, false).await, served_value(), "{context}");
+                assert_eq!(send_request(address, true).await, served_value(), "{context}");
             }
         });
     }
 }
 
 #[test]
-fn what_the_other_side_did_is_told_as_its_failure() {
+fn connect_errors_of_the_server_count_against_it() {
     for error in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT] {
-        with_proxy(&[cache()], origin(), |runtime, address| async move {
+        with_proxy(&[start_cache()], start_origin(), |runtime, address| async move {
             fail(SocketCall::Connect, error, 1);
-            assert_eq!(ask(address, false).await, served(), "{error:?}: expected a successful retry");
-            assert_eq!((runtime.blamed(), left(SocketCall::Connect)), (1, 0), "{error:?}");
-            assert_eq!(runtime.endings(AttemptOutcome::ConnectTimedOut), u64::from(error == Errno::TIMEDOUT));
+            assert_eq!(
+                send_request(address, false).await,
+                served_value(),
+                "{error:?}: expected a successful retry"
+            );
+            assert_eq!((runtime.connect_failures(), left(SocketCall::Connect)), (1, 0), "{error:?}");
+            assert_eq!(
+                runtime.attempts_with(AttemptOutcome::ConnectTimedOut),
+                u64::from(error == Errno::TIMEDOUT)
+            );
         });
     }
 }
 
 #[test]
-fn connections_that_went_in_the_queue_hold_up_nobody_and_a_shortage_passes() {
+fn accepting_continues_after_aborted_connections_and_short_shortages() {
     for (error, times) in [(Errno::CONNABORTED, 40), (Errno::PROTO, 40), (Errno::MFILE, 2), (Errno::NOMEM, 2)]
     {
-        with_proxy(&[cache()], origin(), |runtime, address| async move {
+        with_proxy(&[start_cache()], start_origin(), |runtime, address| async move {
             // The accept that is already waiting is not affected by the injected failure.
-            assert_eq!(ask(address, false).await, served());
+            assert_eq!(send_request(address, false).await, served_value());
             fail(SocketCall::Accept, error, times);
-            let begun = Instant::now();
-            assert_eq!(ask(address, false).await, served(), "{error:?}");
-            assert!(begun.elapsed() < Duration::from_millis(600), "{error:?}: {:?}", begun.elapsed());
+            let started_at = Instant::now();
+            assert_eq!(send_request(address, false).await, served_value(), "{error:?}");
+            assert!(
+                started_at.elapsed() < Duration::from_millis(600),
+                "{error:?}: {:?}",
+                started_at.elapsed()
+            );
             assert_eq!(runtime.proxy.borrow().counters.accept_errors, times as u64, "{error:?}");
         });
     }
 }
 
 #[test]
-fn a_stop_takes_what_is_queued_whatever_accept_says() {
+fn stop_accepting_serves_queued_connections_despite_accept_errors() {
     let errors = [Errno::INTR, Errno::CONNABORTED, Errno::PROTO, Errno::MFILE, Errno::NFILE, Errno::NOBUFS];
     for error in errors {
-        with_proxy(&[cache()], origin(), |runtime, address| async move {
-            assert_eq!(ask(address, false).await, served());
+        with_proxy(&[start_cache()], start_origin(), |runtime, address| async move {
+            assert_eq!(send_request(address, false).await, served_value());
             // The proxy runs on this thread, so all connections are still queued when the stop begins.
             let clients: Vec<Client> = (0..6)
                 .map(|n| {
@@ -273,7 +291,7 @@
             runtime.stop_accepting().await;
             let answers =
                 unblock(move || clients.into_iter().map(|mut c| c.next()).collect::<Vec<_>>()).await;
-            assert_eq!(answers, vec![served(); 6], "{error:?}");
+            assert_eq!(answers, vec![served_value(); 6], "{error:?}");
             assert_eq!(left(SocketCall::Accept), 0, "{error:?}");
         });
     }
--- a/proxy/src/wire/driver/watch.rs
+++ b/proxy/src/wire/driver/watch.rs
@@ -10,46 +10,46 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-// A silent watch must be replaced within 6 s, even if the first call after it is silent as well. The timeouts below and
-// the pauses between calls add up to less.
+// A silent watch must be replaced within 6 s, even if the first call after it is silent as well. The timeouts below
+// and the pauses between calls add up to less.
 
 /// Timeout for the first bytes of the response. Discovery itself fails calls after 1 s.
-const FIRST: Duration = Duration::from_millis(1500);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Timeout between reads. Discovery sends a heartbeat every 2 s; a partitioned connection stays open without data.
-const SILENCE: Duration = Duration::from_millis(2750);
+const READ_TIMEOUT: Duration = Duration::from_millis(2750);
 /// Timeout between complete lines, for a discovery service that sends single bytes but no lines.
-const LINE: Duration = Duration::from_secs(5);
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs one watch until it ends and reports the reason to the proxy.
 pub async fn run(runtime: Rc<Runtime>) {
-    let (ending, why) = watch(&runtime).await;
-    log::warn!(ending = ending.name(); "discovery: watch ended, {}: {why}", ending.name());
+    let (ending, reason) = run_watch(&runtime).await;
+    log::warn!(ending = ending.name(); "discovery: watch ended, {}: {reason}", ending.name());
     if let Some(task) = runtime.watch.borrow_mut().take() {
         task.detach();
     }
-    runtime.heard.set(true);
+    runtime.discovery_ready.set(true);
     runtime.drive(|proxy, now| proxy.discovery_failed(now, ending));
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = std::io::Result<T>>,
 ) -> Result<T, (DiscoveryEnd, String)> {
-    let late = async {
+    let timed_out = async {
         Timer::after(limit).await;
         Err((DiscoveryEnd::Silent, format!("no data for {} ms", limit.as_millis())))
     };
-    future::or(async { work.await.map_err(|e| (DiscoveryEnd::Broken, e.to_string())) }, late).await
+    future::or(async { work.await.map_err(|e| (DiscoveryEnd::Broken, e.to_string())) }, timed_out).await
 }
 
-async fn watch(runtime: &Rc<Runtime>) -> (DiscoveryEnd, String) {
-    match follow(runtime).await {
+async fn run_watch(runtime: &Rc<Runtime>) -> (DiscoveryEnd, String) {
+    match receive_updates(runtime).await {
         Ok(()) => (DiscoveryEnd::Broken, "connection closed".to_owned()),
         Err(end) => end,
     }
 }
 
-async fn follow(runtime: &Rc<Runtime>) -> Result<(), (DiscoveryEnd, String)> {
+async fn receive_updates(runtime: &Rc<Runtime>) -> Result<(), (DiscoveryEnd, String)> {
     let discovery = runtime.discovery.get();
     let rev = {
         let mut proxy = runtime.proxy.borrow_mut();
@@ -58,20 +58,20 @@
     };
     let mut decoder = discovery::Decoder::default();
     let mut buffer = vec![0; 16 * 1024];
-    let (mut lines, mut line_at) = (0, Instant::now());
-    let answered = async {
+    let (mut lines, mut last_line_at) = (0, Instant::now());
+    let response = async {
         let mut io = net::connect(discovery).await.map_err(std::io::Error::other)?;
         io.write_all(&discovery::encode(&discovery.to_string(), rev)).await?;
         let n = io.read(&mut buffer).await?;
         Ok((io, n))
     };
-    let (mut io, mut n) = within(FIRST, answered).await?;
+    let (mut io, mut n) = with_timeout(FIRST_RESPONSE_TIMEOUT, response).await?;
     loop {
         if n == 0 {
             return Ok(());
         }
         let updates = decoder.feed(buffer.get(..n).unwrap_or_default());
-        for update in updates.map_err(|WatchEnded(why)| (DiscoveryEnd::Broken, why))? {
+        for update in updates.map_err(|WatchEnded(reason)| (DiscoveryEnd::Broken, reason))? {
             // Updates without endpoints are heartbeats.
             let level = if update.targets.is_empty() { log::Level::Debug } else { log::Level::Info };
             let (rev, lines) = (update.rev, update.targets.len());
@@ -80,10 +80,14 @@
         }
         // Any complete line, even a heartbeat, shows that the endpoint list is current.
         if decoder.lines_received() > lines {
-            (lines, line_at) = (decoder.lines_received(), Instant::now());
-            runtime.heard.set(true);
+            (lines, last_line_at) = (decoder.lines_received(), Instant::now());
+            runtime.discovery_ready.set(true);
             runtime.proxy.borrow_mut().endpoints.set_current();
         }
-        n = within(SILENCE.min(LINE.saturating_sub(line_at.elapsed())), io.read(&mut buffer)).await?;
+        n = with_timeout(
+            READ_TIMEOUT.min(LINE_TIMEOUT.saturating_sub(last_line_at.elapsed())),
+            io.read(&mut buffer),
+        )
+        .await?;
     }
 }
--- a/proxy/src/wire/http.rs
+++ b/proxy/src/wire/http.rs
@@ -1,7 +1,7 @@
 //! Incremental decoder of HTTP/1.1 responses.
 
 /// Maximum size of the head, and of a chunk size or trailer line.
-const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of headers.
 const MAX_HEADERS: usize = 64;
 
@@ -42,8 +42,8 @@
     state: State,
     buffer: Vec<u8>,
     /// Number of consumed bytes in the buffer. Removed once per feed, not per chunk, to avoid quadratic copying.
-    read: usize,
-    keep: bool,
+    consumed: usize,
+    keep_alive: bool,
 }
 
 /// The bytes are not a valid HTTP response, or exceed a limit.
@@ -52,7 +52,7 @@
 
 impl Default for Decoder {
     fn default() -> Self {
-        Decoder { state: State::Head, buffer: Vec::new(), read: 0, keep: true }
+        Decoder { state: State::Head, buffer: Vec::new(), consumed: 0, keep_alive: true }
     }
 }
 
@@ -63,10 +63,10 @@
         if matches!(self.state, State::Done) && !bytes.is_empty() {
             return Err(Malformed);
         }
-        self.buffer.drain(..std::mem::take(&mut self.read));
+        self.buffer.drain(..std::mem::take(&mut self.consumed));
         self.buffer.extend_from_slice(bytes);
         let mut parts = Vec::new();
-        while let Some(part) = self.step()? {
+        while let Some(part) = self.next_part()? {
             let end = matches!(part, Part::End { .. });
             parts.push(part);
             if end {
@@ -77,13 +77,13 @@
     }
 
     /// Whether received bytes are not yet part of a decoded part.
-    pub fn begun(&self) -> bool {
-        !self.rest().is_empty()
+    pub fn has_unread(&self) -> bool {
+        !self.unread().is_empty()
     }
 
     /// Received bytes that are not consumed yet.
-    fn rest(&self) -> &[u8] {
-        self.buffer.get(self.read..).unwrap_or_default()
+    fn unread(&self) -> &[u8] {
+        self.buffer.get(self.consumed..).unwrap_or_default()
     }
 
     /// Reports that the server closed the connection, which ends a body without a declared length.
@@ -94,71 +94,73 @@
         })
     }
 
-    fn end(&mut self) -> Part {
+    fn finish(&mut self) -> Part {
         self.state = State::Done;
-        Part::End { reusable: self.keep && self.rest().is_empty() }
+        Part::End { reusable: self.keep_alive && self.unread().is_empty() }
     }
 
-    fn take(&mut self, n: usize) -> &[u8] {
-        let from = self.read;
-        self.read = (from + n).min(self.buffer.len());
-        self.buffer.get(from..self.read).unwrap_or_default()
+    fn consume(&mut self, n: usize) -> &[u8] {
+        let from = self.consumed;
+        self.consumed = (from + n).min(self.buffer.len());
+        self.buffer.get(from..self.consumed).unwrap_or_default()
     }
 
     /// Length of the next line, line feed included; `None` if it is incomplete.
-    fn line(&self) -> Result<Option<usize>, Malformed> {
-        match self.rest().iter().position(|&b| b == b'\n') {
+    fn line_length(&self) -> Result<Option<usize>, Malformed> {
+        match self.unread().iter().position(|&b| b == b'\n') {
             Some(at) => Ok(Some(at + 1)),
-            None if self.rest().len() > MAX_HEAD => Err(Malformed),
+            None if self.unread().len() > MAX_HEAD_BYTES => Err(Malformed),
             None => Ok(None),
         }
     }
 
-    fn step(&mut self) -> Result<Option<Part>, Malformed> {
+    fn next_part(&mut self) -> Result<Option<Part>, Malformed> {
         loop {
             match self.state {
-                State::Head => match self.head()? {
+                State::Head => match self.parse_head()? {
                     Some(part) => return Ok(Some(part)),
-                    None if matches!(self.state, State::Head) && self.interim()? => {}
+                    None if matches!(self.state, State::Head) && self.skip_interim()? => {}
                     None => return Ok(None),
                 },
-                State::Length(0) => return Ok(Some(self.end())),
+                State::Length(0) => return Ok(Some(self.finish())),
                 State::Length(left) | State::Chunk(left) if left > 0 => {
-                    if self.rest().is_empty() {
+                    if self.unread().is_empty() {
                         return Ok(None);
                     }
-                    let n = left.min(self.rest().len() as u64);
+                    let n = left.min(self.unread().len() as u64);
                     let chunked = matches!(self.state, State::Chunk(_));
                     self.state = if chunked { State::Chunk(left - n) } else { State::Length(left - n) };
-                    return Ok(Some(Part::Data(self.take(n as usize).to_vec())));
+                    return Ok(Some(Part::Data(self.consume(n as usize).to_vec())));
                 }
                 State::Length(_) | State::Chunk(_) => self.state = State::ChunkEnd,
-                State::ChunkSize => match httparse::parse_chunk_size(self.rest()) {
+                State::ChunkSize => match httparse::parse_chunk_size(self.unread()) {
                     Ok(httparse::Status::Complete((n, size))) => {
-                        self.take(n);
+                        self.consume(n);
                         self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
                     }
-                    Ok(httparse::Status::Partial) if self.rest().len() <= MAX_HEAD => return Ok(None),
+                    Ok(httparse::Status::Partial) if self.unread().len() <= MAX_HEAD_BYTES => {
+                        return Ok(None)
+                    }
                     _ => return Err(Malformed),
                 },
-                State::ChunkEnd => match self.line()? {
-                    Some(n) if matches!(self.take(n), b"\r\n" | b"\n") => {
+                State::ChunkEnd => match self.line_length()? {
+                    Some(n) if matches!(self.consume(n), b"\r\n" | b"\n") => {
                         self.state = State::ChunkSize;
                     }
                     Some(_) => return Err(Malformed),
                     None => return Ok(None),
                 },
-                State::Trailer => match self.line()? {
-                    Some(n) if matches!(self.take(n), b"\r\n" | b"\n") => {
-                        return Ok(Some(self.end()));
+                State::Trailer => match self.line_length()? {
+                    Some(n) if matches!(self.consume(n), b"\r\n" | b"\n") => {
+                        return Ok(Some(self.finish()));
                     }
                     Some(_) => {}
                     None => return Ok(None),
                 },
-                State::UntilClose if self.rest().is_empty() => return Ok(None),
+                State::UntilClose if self.unread().is_empty() => return Ok(None),
                 State::UntilClose => {
-                    let n = self.rest().len();
-                    return Ok(Some(Part::Data(self.take(n).to_vec())));
+                    let n = self.unread().len();
+                    return Ok(Some(Part::Data(self.consume(n).to_vec())));
                 }
                 State::Done => return Ok(None),
             }
@@ -166,12 +168,12 @@
     }
 
     /// Skips an interim response (1xx). Returns false if the head is incomplete.
-    fn interim(&mut self) -> Result<bool, Malformed> {
+    fn skip_interim(&mut self) -> Result<bool, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        match head.parse(self.buffer.get(self.read..).unwrap_or_default()) {
+        match head.parse(self.buffer.get(self.consumed..).unwrap_or_default()) {
             Ok(httparse::Status::Complete(n)) if head.code.is_some_and(|c| c < 200 && c != 101) => {
-                self.take(n);
+                self.consume(n);
                 Ok(true)
             }
             Ok(httparse::Status::Complete(_)) | Err(_) => Err(Malformed),
@@ -179,12 +181,12 @@
         }
     }
 
-    fn head(&mut self) -> Result<Option<Part>, Malformed> {
+    fn parse_head(&mut self) -> Result<Option<Part>, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let n = match head.parse(self.buffer.get(self.read..).unwrap_or_default()) {
+        let n = match head.parse(self.buffer.get(self.consumed..).unwrap_or_default()) {
             Ok(httparse::Status::Complete(n)) => n,
-            Ok(httparse::Status::Partial) if self.rest().len() <= MAX_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if self.unread().len() <= MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(Malformed),
         };
         let status = head.code.ok_or(Malformed)?;
@@ -192,21 +194,21 @@
             return Ok(None);
         }
         let (mut length, mut chunked, mut rejected) = (None, false, false);
-        self.keep = head.version == Some(1);
+        self.keep_alive = head.version == Some(1);
         for header in head.headers.iter() {
             let value = std::str::from_utf8(header.value).map_err(|_| Malformed)?.trim();
-            let named = |name: &str| header.name.eq_ignore_ascii_case(name);
-            if named("content-length") {
+            let is_header = |name: &str| header.name.eq_ignore_ascii_case(name);
+            if is_header("content-length") {
                 let n: u64 = value.parse().map_err(|_| Malformed)?;
                 if length.is_some_and(|l| l != n) {
                     return Err(Malformed);
                 }
                 length = Some(n);
-            } else if named("transfer-encoding") {
+            } else if is_header("transfer-encoding") {
                 chunked = value.to_ascii_lowercase().ends_with("chunked");
-            } else if named("connection") {
-                self.keep &= !value.to_ascii_lowercase().contains("close");
-            } else if named("x-rejected") {
+            } else if is_header("connection") {
+                self.keep_alive &= !value.to_ascii_lowercase().contains("close");
+            } else if is_header("x-rejected") {
                 rejected = value == "1";
             }
         }
@@ -216,7 +218,7 @@
             Some(n) => State::Length(n),
             None => State::UntilClose,
         };
-        self.take(n);
+        self.consume(n);
         Ok(Some(Part::Head { status, rejected, length }))
     }
 }
--- a/proxy/src/wire/http/tests.rs
+++ b/proxy/src/wire/http/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
 
 /// Status, rejected, body, and `reusable` if the response is complete.
-type Seen = (u16, bool, Vec<u8>, Option<bool>);
+type Response = (u16, bool, Vec<u8>, Option<bool>);
 
-fn read(bytes: &[u8], at: usize) -> Result<Seen, Malformed> {
+fn decode_split(bytes: &[u8], at: usize) -> Result<Response, Malformed> {
     let mut decoder = Decoder::default();
-    let mut seen = (0, false, Vec::new(), None);
+    let mut response = (0, false, Vec::new(), None);
     let mut parts = decoder.feed(&bytes[..at])?;
     parts.extend(decoder.feed(&bytes[at..])?);
     parts.extend(decoder.closed());
     for part in parts {
         match part {
-            Part::Head { status, rejected, .. } => (seen.0, seen.1) = (status, rejected),
-            Part::Data(data) => seen.2.extend(data),
-            Part::End { reusable } => seen.3 = Some(reusable),
+            Part::Head { status, rejected, .. } => (response.0, response.1) = (status, rejected),
+            Part::Data(data) => response.2.extend(data),
+            Part::End { reusable } => response.3 = Some(reusable),
         }
     }
-    Ok(seen)
+    Ok(response)
 }
 
 #[test]
-fn answers_come_out_however_they_are_split() {
+fn decodes_responses_split_at_any_byte() {
     type Case = (&'static [u8], u16, bool, &'static [u8], Option<bool>);
     let cases: &[Case] = &[
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", 200, false, b"abc", Some(true)),
@@ -41,17 +41,17 @@
     for &(bytes, status, rejected, body, end) in cases {
         for at in 0..=bytes.len() {
             let expected = (status, rejected, body.to_vec(), end);
-            let seen = read(bytes, at).unwrap();
-            assert_eq!(seen, expected, "{:?} split at {at}", String::from_utf8_lossy(bytes));
+            let response = decode_split(bytes, at).unwrap();
+            assert_eq!(response, expected, "{:?} split at {at}", String::from_utf8_lossy(bytes));
         }
     }
-    let behind = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab";
-    assert_eq!(read(behind, 0).unwrap().3, Some(false));
+    let with_surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab";
+    assert_eq!(decode_split(with_surplus, 0).unwrap().3, Some(false));
 }
 
 #[test]
-fn what_is_malformed_or_too_large_is_told() {
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(MAX_HEAD));
+fn malformed_and_oversized_responses_are_rejected() {
+    let oversized_head = format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
     let cases: &[&[u8]] = &[
         b"SSH-2.0\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -59,16 +59,16 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
         b"HTTP/1.1 101 Switching\r\n\r\n",
-        long.as_bytes(),
+        oversized_head.as_bytes(),
     ];
     for bytes in cases {
-        assert_eq!(read(bytes, 0), Err(Malformed), "{:?}", String::from_utf8_lossy(bytes));
+        assert_eq!(decode_split(bytes, 0), Err(Malformed), "{:?}", String::from_utf8_lossy(bytes));
     }
 }
 
 /// Guards against buffering bytes after a complete response without bound.
 #[test]
-fn nothing_is_taken_behind_a_whole_answer() {
+fn bytes_after_a_complete_response_are_rejected() {
     let mut decoder = Decoder::default();
     let parts = decoder.feed(b"HTTP/1.1 200 x\r\nContent-Length: 1\r\n\r\nv").unwrap();
     assert_eq!(parts.last(), Some(&Part::End { reusable: true }));
--- a/proxy/src/wire/origin.rs
+++ b/proxy/src/wire/origin.rs
@@ -7,13 +7,13 @@
 use crate::outcome::AttemptOutcome;
 use notchdoor::Micros;
 
-/// Encodes `GET /KEY`, or `PUT /KEY` with the value, with the request id and the list of names and values, in which `d`
-/// is `wait`. A streamed value is not included: the caller sends it afterwards.
-pub fn encode(call: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
-    let method = if call.value_len().is_some() { "PUT" } else { "GET" };
-    let mut out = Vec::with_capacity(call.buffered_bytes() + 256);
+/// Encodes `GET /KEY`, or `PUT /KEY` with the value, with the request id and the list of names and values, in which
+/// `d` is `wait`. A streamed value is not included: the caller sends it afterwards.
+pub fn encode(command: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
+    let method = if command.value_len().is_some() { "PUT" } else { "GET" };
+    let mut out = Vec::with_capacity(command.buffered_bytes() + 256);
     out.extend_from_slice(format!("{method} /").as_bytes());
-    for &byte in &call.key {
+    for &byte in &command.key {
         // Percent-encodes bytes that are not allowed in a path. The key contains no control characters.
         if !byte.is_ascii() || b"%?#\"<>\\^`{|}".contains(&byte) {
             out.extend_from_slice(format!("%{byte:02X}").as_bytes());
@@ -22,12 +22,12 @@
         }
     }
     out.extend_from_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Call-Id: ").as_bytes());
-    out.extend_from_slice(&call.id);
+    out.extend_from_slice(&command.id);
     out.extend_from_slice(b"\r\nX-Call-Info: ");
-    out.extend_from_slice(&call.info_with_deadline(wait));
-    if let Some(length) = call.value_len() {
+    out.extend_from_slice(&command.info_with_deadline(wait));
+    if let Some(length) = command.value_len() {
         out.extend_from_slice(format!("\r\nContent-Length: {length}\r\n\r\n").as_bytes());
-        out.extend_from_slice(call.value.as_deref().unwrap_or_default());
+        out.extend_from_slice(command.value.as_deref().unwrap_or_default());
     } else {
         out.extend_from_slice(b"\r\n\r\n");
     }
@@ -42,13 +42,13 @@
     rejected: bool,
     body: Vec<u8>,
     /// The body is streamed.
-    large: bool,
+    streaming: bool,
 }
 
 impl Decoder {
     /// Whether part of a response has been received.
     pub fn has_partial_reply(&self) -> bool {
-        self.status != 0 || self.http.begun()
+        self.status != 0 || self.http.has_unread()
     }
 
     /// Feeds received bytes and returns the parts of the reply that they complete.
@@ -56,10 +56,10 @@
         match self.http.feed(bytes) {
             Ok(parts) => {
                 let mut reply_parts = Vec::new();
-                for reply_part in parts.into_iter().filter_map(|part| self.part(part)) {
-                    let over = matches!(reply_part, ReplyPart::Complete(_));
+                for reply_part in parts.into_iter().filter_map(|part| self.convert(part)) {
+                    let complete = matches!(reply_part, ReplyPart::Complete(_));
                     reply_parts.push(reply_part);
-                    if over {
+                    if complete {
                         break;
                     }
                 }
@@ -72,13 +72,13 @@
     /// Reports that the origin closed the connection. Returns the reply if that completes it.
     pub fn closed(&mut self) -> Option<Reply> {
         let part = self.http.closed()?;
-        match self.part(part) {
+        match self.convert(part) {
             Some(ReplyPart::Complete(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    fn part(&mut self, part: Part) -> Option<ReplyPart> {
+    fn convert(&mut self, part: Part) -> Option<ReplyPart> {
         let garbled = || Some(ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled)));
         match part {
             Part::Head { status, rejected, length } => {
@@ -87,13 +87,13 @@
                     // A length above the maximum is rejected before the body arrives.
                     Some(length) if length > MAX_STREAMED_VALUE as u64 => garbled(),
                     Some(length) if length > MAX_VALUE as u64 && status == 200 => {
-                        self.large = true;
+                        self.streaming = true;
                         Some(ReplyPart::ValueStart(length as usize))
                     }
                     _ => None,
                 }
             }
-            Part::Data(data) if self.large => Some(ReplyPart::ValueData(data)),
+            Part::Data(data) if self.streaming => Some(ReplyPart::ValueData(data)),
             Part::Data(data) => {
                 // Bodies of error responses are discarded.
                 if self.status == 200 {
@@ -113,8 +113,8 @@
                     503 | 504 if self.rejected => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::Errored,
                 };
-                let whole = outcome == AttemptOutcome::Served && !self.large;
-                let value = whole.then(|| std::mem::take(&mut self.body));
+                let buffered = outcome == AttemptOutcome::Served && !self.streaming;
+                let value = buffered.then(|| std::mem::take(&mut self.body));
                 Some(ReplyPart::Complete(Reply { value, reusable, ..Reply::without_value(outcome) }))
             }
         }
--- a/proxy/src/wire/resp.rs
+++ b/proxy/src/wire/resp.rs
@@ -3,13 +3,13 @@
 use super::MAX_VALUE;
 
 /// Maximum number of elements of an array.
-const MAX_ITEMS: usize = 64;
+const MAX_ARRAY_ITEMS: usize = 64;
 /// Maximum nesting depth of arrays.
 const MAX_DEPTH: usize = 4;
 /// Maximum length in bytes of a line with a length, a status or an error.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// Maximum size in bytes of a message beyond its largest bulk string.
-const MAX_AROUND: usize = 16 * 1024;
+const MAX_OVERHEAD_BYTES: usize = 16 * 1024;
 
 /// A RESP2 value.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// The start of an array, as seen by [`Reader::head`].
+/// The start of an array, as seen by [`Reader::peek_array`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Head {
     /// More bytes are needed.
@@ -49,11 +49,11 @@
 /// Incremental parser of RESP2 values.
 pub struct Reader {
     /// Maximum length of a bulk string in bytes.
-    most: usize,
+    max_bulk_bytes: usize,
     buffer: Vec<u8>,
     read: usize,
     /// Minimum number of unread bytes for the next value to be complete.
-    wanted: usize,
+    needed: usize,
 }
 
 impl Default for Reader {
@@ -63,78 +63,84 @@
 }
 
 struct Cursor<'a> {
-    most: usize,
+    max_bulk_bytes: usize,
     bytes: &'a [u8],
     at: usize,
 }
 
-enum Stop {
+enum ParseError {
     /// More bytes are needed. Contains the minimum total, 0 if unknown.
-    More(usize),
+    Incomplete(usize),
     Malformed(Malformed),
 }
 
-fn bad<T>(text: &'static str) -> Result<T, Stop> {
-    Err(Stop::Malformed(Malformed(text)))
+fn malformed<T>(text: &'static str) -> Result<T, ParseError> {
+    Err(ParseError::Malformed(Malformed(text)))
 }
 
 impl<'a> Cursor<'a> {
     /// Reads one line, without its CR LF.
-    fn line(&mut self) -> Result<&'a [u8], Stop> {
+    fn line(&mut self) -> Result<&'a [u8], ParseError> {
         let rest = self.bytes.get(self.at..).unwrap_or_default();
-        let Some(end) = rest.iter().take(MAX_LINE + 2).position(|&b| b == b'\n') else {
-            return if rest.len() > MAX_LINE + 1 { bad("line too long") } else { Err(Stop::More(0)) };
+        let Some(end) = rest.iter().take(MAX_LINE_BYTES + 2).position(|&b| b == b'\n') else {
+            return if rest.len() > MAX_LINE_BYTES + 1 {
+                malformed("line too long")
+            } else {
+                Err(ParseError::Incomplete(0))
+            };
         };
         let line = rest.get(..end).and_then(|line| line.strip_suffix(b"\r"));
         self.at += end + 1;
-        line.map_or_else(|| bad("line does not end in CR LF"), Ok)
+        line.map_or_else(|| malformed("line does not end in CR LF"), Ok)
     }
 
-    fn number(line: &[u8]) -> Result<i64, Stop> {
+    fn number(line: &[u8]) -> Result<i64, ParseError> {
         let text = std::str::from_utf8(line).ok().filter(|t| !t.starts_with('+'));
-        text.and_then(|t| t.parse().ok()).map_or_else(|| bad("not a number"), Ok)
+        text.and_then(|t| t.parse().ok()).map_or_else(|| malformed("not a number"), Ok)
     }
 
     /// Parses a length of at most `most`; -1 (null) is `None`.
-    fn length(line: &[u8], most: usize) -> Result<Option<usize>, Stop> {
+    fn length(line: &[u8], most: usize) -> Result<Option<usize>, ParseError> {
         match Self::number(line)? {
             -1 => Ok(None),
             n => match usize::try_from(n) {
                 Ok(n) if n <= most => Ok(Some(n)),
-                Ok(_) => bad("too large"),
-                Err(_) => bad("negative length"),
+                Ok(_) => malformed("too large"),
+                Err(_) => malformed("negative length"),
             },
         }
     }
 
-    fn value(&mut self, depth: usize) -> Result<Value, Stop> {
+    fn value(&mut self, depth: usize) -> Result<Value, ParseError> {
         // Checks the type byte before the line is complete, to reject garbage early.
         match self.bytes.get(self.at) {
-            None => return Err(Stop::More(0)),
+            None => return Err(ParseError::Incomplete(0)),
             Some(b'+' | b'-' | b':' | b'$' | b'*') => {}
-            Some(_) => return bad("unknown type"),
+            Some(_) => return malformed("unknown type"),
         }
-        let Some((kind, line)) = self.line()?.split_first() else { return bad("empty line") };
+        let Some((kind, line)) = self.line()?.split_first() else { return malformed("empty line") };
         Ok(match kind {
             b'+' => Value::Simple(line.to_vec()),
             b'-' => Value::Error(line.to_vec()),
             b':' => Value::Int(Self::number(line)?),
-            b'$' => Value::Bulk(match Self::length(line, self.most)? {
+            b'$' => Value::Bulk(match Self::length(line, self.max_bulk_bytes)? {
                 None => None,
                 Some(n) => {
                     let end = self.at + n;
-                    let Some(tail) = self.bytes.get(end..end + 2) else { return Err(Stop::More(end + 2)) };
+                    let Some(tail) = self.bytes.get(end..end + 2) else {
+                        return Err(ParseError::Incomplete(end + 2));
+                    };
                     if tail != b"\r\n" {
-                        return bad("string does not end in CR LF");
+                        return malformed("string does not end in CR LF");
                     }
                     let bytes = self.bytes.get(self.at..end).unwrap_or_default().to_vec();
                     self.at = end + 2;
                     Some(bytes)
                 }
             }),
-            _ => Value::Array(match Self::length(line, MAX_ITEMS)? {
+            _ => Value::Array(match Self::length(line, MAX_ARRAY_ITEMS)? {
                 None => None,
-                Some(_) if depth >= MAX_DEPTH => return bad("nested too deep"),
+                Some(_) if depth >= MAX_DEPTH => return malformed("nested too deep"),
                 Some(n) => Some((0..n).map(|_| self.value(depth + 1)).collect::<Result<_, _>>()?),
             }),
         })
@@ -144,7 +150,7 @@
 impl Reader {
     /// Creates a reader that accepts bulk strings of at most `most` bytes.
     pub fn with_most(most: usize) -> Self {
-        Reader { most, buffer: Vec::new(), read: 0, wanted: 0 }
+        Reader { max_bulk_bytes: most, buffer: Vec::new(), read: 0, needed: 0 }
     }
 
     /// Feeds received bytes.
@@ -162,20 +168,20 @@
     }
 
     /// Minimum number of bytes, at least 1, still needed to complete the next value, which must be incomplete.
-    pub fn missing(&self) -> usize {
-        self.wanted.saturating_sub(self.pending()).max(1)
+    pub fn bytes_needed(&self) -> usize {
+        self.needed.saturating_sub(self.pending()).max(1)
     }
 
     /// Inspects the start of the next value for an array of `items` elements whose first is a bulk string.
-    pub fn head(&self, items: usize) -> Result<Head, Malformed> {
+    pub fn peek_array(&self, items: usize) -> Result<Head, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
-        let mut cursor = Cursor { most: usize::MAX, bytes, at: 0 };
-        let mut told = || -> Result<Head, Stop> {
+        let mut cursor = Cursor { max_bulk_bytes: usize::MAX, bytes, at: 0 };
+        let mut parse = || -> Result<Head, ParseError> {
             if bytes.first().is_some_and(|&b| b != b'*') {
                 return Ok(Head::Other);
             }
             let line = cursor.line()?;
-            let count = Cursor::length(line.get(1..).unwrap_or_default(), MAX_ITEMS)?;
+            let count = Cursor::length(line.get(1..).unwrap_or_default(), MAX_ARRAY_ITEMS)?;
             if count != Some(items) {
                 return Ok(Head::Other);
             }
@@ -186,37 +192,37 @@
             let length = Cursor::length(line.get(1..).unwrap_or_default(), usize::MAX)?;
             Ok(length.map_or(Head::Other, |length| Head::Bulk { length, at: cursor.at }))
         };
-        match told() {
+        match parse() {
             Ok(head) => Ok(head),
-            Err(Stop::More(_)) => Ok(Head::Unknown),
-            Err(Stop::Malformed(malformed)) => Err(malformed),
+            Err(ParseError::Incomplete(_)) => Ok(Head::Unknown),
+            Err(ParseError::Malformed(malformed)) => Err(malformed),
         }
     }
 
-    /// Inspects the next value for a command of `words` words whose last one is too large to buffer and has at most `most`
-    /// bytes. Returns the words before it, its length and its offset.
-    pub fn large_last(&self, words: usize, most: usize) -> Option<(Vec<Value>, usize, usize)> {
+    /// Inspects the next value for a command of `words` words whose last one is too large to buffer and has at most
+    /// `most` bytes. Returns the words before it, its length and its offset.
+    pub fn peek_large_last_word(&self, words: usize, most: usize) -> Option<(Vec<Value>, usize, usize)> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
-        let mut cursor = Cursor { most: self.most, bytes, at: 0 };
-        let mut told = || -> Result<_, Stop> {
+        let mut cursor = Cursor { max_bulk_bytes: self.max_bulk_bytes, bytes, at: 0 };
+        let mut parse = || -> Result<_, ParseError> {
             let line = cursor.line()?;
             if line != format!("*{words}").as_bytes() {
-                return bad("another number of words");
+                return malformed("another number of words");
             }
-            let before = (1..words).map(|_| cursor.value(1)).collect::<Result<Vec<Value>, Stop>>()?;
+            let before = (1..words).map(|_| cursor.value(1)).collect::<Result<Vec<Value>, ParseError>>()?;
             let line = cursor.line()?;
-            let Some(rest) = line.strip_prefix(b"$") else { return bad("no string") };
+            let Some(rest) = line.strip_prefix(b"$") else { return malformed("no string") };
             Ok((before, Cursor::length(rest, most)?))
         };
-        match told() {
-            Ok((before, Some(length))) if length > self.most => Some((before, length, cursor.at)),
+        match parse() {
+            Ok((before, Some(length))) if length > self.max_bulk_bytes => Some((before, length, cursor.at)),
             _ => None,
         }
     }
 
     /// Skips the CR LF after a bulk string; `None` while it is incomplete.
-    pub fn end_of_bulk(&mut self) -> Result<Option<()>, Malformed> {
-        let ended = ends(self.buffer.get(self.read..).unwrap_or_default())?;
+    pub fn skip_bulk_end(&mut self) -> Result<Option<()>, Malformed> {
+        let ended = starts_with_crlf(self.buffer.get(self.read..).unwrap_or_default())?;
         Ok(ended.then(|| self.skip(2)))
     }
 
@@ -226,7 +232,7 @@
     }
 
     /// Removes and returns `n` unread bytes, or all if there are fewer.
-    pub fn take(&mut self, n: usize) -> Vec<u8> {
+    pub fn take_bytes(&mut self, n: usize) -> Vec<u8> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
         let taken = bytes.get(..n.min(bytes.len())).unwrap_or_default().to_vec();
         self.skip(taken.len());
@@ -234,35 +240,37 @@
     }
 
     /// Reads the CR LF after a bulk string and the next `values` values; `None` while they are incomplete.
-    pub fn after_bulk(&mut self, values: usize) -> Result<Option<Vec<Value>>, Malformed> {
+    pub fn values_after_bulk(&mut self, values: usize) -> Result<Option<Vec<Value>>, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
-        if !ends(bytes)? {
+        if !starts_with_crlf(bytes)? {
             return Ok(None);
         }
-        let mut cursor = Cursor { most: self.most, bytes, at: 2 };
-        match (0..values).map(|_| cursor.value(1)).collect::<Result<Vec<Value>, Stop>>() {
+        let mut cursor = Cursor { max_bulk_bytes: self.max_bulk_bytes, bytes, at: 2 };
+        match (0..values).map(|_| cursor.value(1)).collect::<Result<Vec<Value>, ParseError>>() {
             Ok(values) => {
                 let at = cursor.at;
                 self.skip(at);
                 Ok(Some(values))
             }
-            Err(Stop::More(_)) if bytes.len() <= self.most + MAX_AROUND => Ok(None),
-            Err(Stop::More(_)) => Err(Malformed("message too large")),
-            Err(Stop::Malformed(malformed)) => Err(malformed),
+            Err(ParseError::Incomplete(_)) if bytes.len() <= self.max_bulk_bytes + MAX_OVERHEAD_BYTES => {
+                Ok(None)
+            }
+            Err(ParseError::Incomplete(_)) => Err(Malformed("message too large")),
+            Err(ParseError::Malformed(malformed)) => Err(malformed),
         }
     }
 
     /// Returns the next complete value, `None` while it is incomplete.
     pub fn next_value(&mut self) -> Result<Option<Value>, Malformed> {
         let bytes = self.buffer.get(self.read..).unwrap_or_default();
-        if bytes.len() < self.wanted.max(1) {
+        if bytes.len() < self.needed.max(1) {
             return Ok(None);
         }
-        let mut cursor = Cursor { most: self.most, bytes, at: 0 };
+        let mut cursor = Cursor { max_bulk_bytes: self.max_bulk_bytes, bytes, at: 0 };
         match cursor.value(0) {
             Ok(value) => {
                 self.read += cursor.at;
-                self.wanted = 0;
+                self.needed = 0;
                 if self.read == self.buffer.len() {
                     self.buffer.clear();
                     self.read = 0;
@@ -271,12 +279,14 @@
                 }
                 Ok(Some(value))
             }
-            Err(Stop::More(wanted)) if bytes.len().max(wanted) <= self.most + MAX_AROUND => {
-                self.wanted = wanted;
+            Err(ParseError::Incomplete(needed))
+                if bytes.len().max(needed) <= self.max_bulk_bytes + MAX_OVERHEAD_BYTES =>
+            {
+                self.needed = needed;
                 Ok(None)
             }
-            Err(Stop::More(_)) => Err(Malformed("message too large")),
-            Err(Stop::Malformed(malformed)) => Err(malformed),
+            Err(ParseError::Incomplete(_)) => Err(Malformed("message too large")),
+            Err(ParseError::Malformed(malformed)) => Err(malformed),
         }
     }
 }
@@ -289,15 +299,15 @@
 }
 
 /// Whether `bytes` start with CR LF; false while these are incomplete.
-fn ends(bytes: &[u8]) -> Result<bool, Malformed> {
+fn starts_with_crlf(bytes: &[u8]) -> Result<bool, Malformed> {
     let end = bytes.get(..bytes.len().min(2)).unwrap_or_default();
-    let whole = end == b"\r\n";
-    let right = b"\r\n".starts_with(end);
-    right.then_some(whole).ok_or(Malformed("string does not end in CR LF"))
+    let complete = end == b"\r\n";
+    let is_prefix = b"\r\n".starts_with(end);
+    is_prefix.then_some(complete).ok_or(Malformed("string does not end in CR LF"))
 }
 
 /// Appends the header of an array of `count` elements, and `words` as its first elements.
-fn write_words(out: &mut Vec<u8>, count: usize, words: &[&[u8]]) {
+fn write_array_start(out: &mut Vec<u8>, count: usize, words: &[&[u8]]) {
     out.extend_from_slice(format!("*{count}\r\n").as_bytes());
     for word in words {
         write_bulk(out, word);
@@ -306,12 +316,12 @@
 
 /// Appends a command: an array of bulk strings.
 pub fn write_command(out: &mut Vec<u8>, words: &[&[u8]]) {
-    write_words(out, words.len(), words);
+    write_array_start(out, words.len(), words);
 }
 
 /// Appends a command whose last word has `last` bytes and is sent separately, followed by CR LF.
 pub fn write_command_head(out: &mut Vec<u8>, words: &[&[u8]], last: usize) {
-    write_words(out, words.len() + 1, words);
+    write_array_start(out, words.len() + 1, words);
     out.extend_from_slice(format!("${last}\r\n").as_bytes());
 }
 
--- a/proxy/src/wire/resp/tests.rs
+++ b/proxy/src/wire/resp/tests.rs
@@ -5,7 +5,7 @@
 }
 
 /// Parses `bytes`, fed in two parts that are split at `at`.
-fn read(bytes: &[u8], at: usize) -> Result<Vec<Value>, Malformed> {
+fn parse_split(bytes: &[u8], at: usize) -> Result<Vec<Value>, Malformed> {
     let (mut reader, mut values) = (Reader::default(), Vec::new());
     for part in [&bytes[..at], &bytes[at..]] {
         reader.feed(part);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn whole_values_come_out_however_the_bytes_are_split() {
+fn parses_values_split_at_any_byte() {
     let array = |v: Vec<Value>| Value::Array(Some(v));
     let cases: Vec<(&[u8], Vec<Value>)> = vec![
         (b"+OK\r\n", vec![Value::Simple(b"OK".into())]),
@@ -36,14 +36,14 @@
     ];
     for (bytes, values) in cases {
         for at in 0..=bytes.len() {
-            assert_eq!(read(bytes, at).as_ref(), Ok(&values), "{bytes:?} split at {at}");
+            assert_eq!(parse_split(bytes, at).as_ref(), Ok(&values), "{bytes:?} split at {at}");
         }
     }
 }
 
 #[test]
-fn what_is_malformed_or_too_large_is_told_and_not_waited_for() {
-    let long = [b"+".as_slice(), &[b'x'; MAX_LINE + 8]].concat();
+fn malformed_and_oversized_values_are_rejected_before_they_are_complete() {
+    let long_line = [b"+".as_slice(), &[b'x'; MAX_LINE_BYTES + 8]].concat();
     let cases: Vec<(&[u8], &str)> = vec![
         (b"GET /", "unknown type"),
         (b"\r\n", "unknown type"),
@@ -56,14 +56,18 @@
         (b"$1\r\nabc", "string does not end in CR LF"),
         (b"*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n", "nested too deep"),
         (b"*2\r\n$1\r\na\r\nQ", "unknown type"),
-        (&long, "line too long"),
+        (&long_line, "line too long"),
     ];
     for (bytes, text) in cases {
-        assert_eq!(read(bytes, 0), Err(Malformed(text)), "{bytes:?}");
+        assert_eq!(parse_split(bytes, 0), Err(Malformed(text)), "{bytes:?}");
     }
     let mut many = b"*64\r\n".to_vec();
     for _ in 0..3 {
         write_bulk(&mut many, &[0; MAX_VALUE / 2]);
     }
-    assert_eq!(read(&many, 0), Err(Malformed("message too large")), "many strings that are each small");
+    assert_eq!(
+        parse_split(&many, 0),
+        Err(Malformed("message too large")),
+        "many strings that are each small"
+    );
 }
--- a/proxy/src/wire/streamed_value.rs
+++ b/proxy/src/wire/streamed_value.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 
 /// Maximum number of buffered bytes; no more is read from the client at this limit.
-const MAX_BUFFERED: usize = 64 * 1024;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// Result of [`StreamedValue::next`].
 #[derive(Debug, PartialEq, Eq)]
@@ -24,11 +24,11 @@
 pub struct StreamedValue {
     /// Length of the value in bytes.
     pub length: usize,
-    waiting: RefCell<Vec<u8>>,
+    buffered: RefCell<Vec<u8>>,
     /// Bytes were returned by `next` and cannot be sent again.
-    begun: Cell<bool>,
-    whole: Cell<bool>,
-    gone: Cell<bool>,
+    started: Cell<bool>,
+    complete: Cell<bool>,
+    aborted: Cell<bool>,
     /// The rest of the value is discarded.
     skipped: Cell<bool>,
     changed: Event,
@@ -45,71 +45,71 @@
     pub fn new(length: usize) -> Self {
         StreamedValue {
             length,
-            waiting: RefCell::default(),
-            begun: Cell::new(false),
-            whole: Cell::new(false),
-            gone: Cell::new(false),
+            buffered: RefCell::default(),
+            started: Cell::new(false),
+            complete: Cell::new(false),
+            aborted: Cell::new(false),
             skipped: Cell::new(false),
             changed: Event::new(),
         }
     }
 
-    fn change(&self) {
+    fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
     /// Number of bytes that can be pushed now; unlimited once skipped.
-    pub fn room(&self) -> usize {
+    pub fn available(&self) -> usize {
         match self.skipped.get() {
             true => usize::MAX,
-            false => MAX_BUFFERED.saturating_sub(self.waiting.borrow().len()),
+            false => MAX_BUFFERED_BYTES.saturating_sub(self.buffered.borrow().len()),
         }
     }
 
     /// Appends received bytes. They are discarded once skipped.
     pub fn push(&self, bytes: &[u8]) {
         if !self.skipped.get() {
-            self.waiting.borrow_mut().extend_from_slice(bytes);
-            self.change();
+            self.buffered.borrow_mut().extend_from_slice(bytes);
+            self.notify();
         }
     }
 
     /// Marks the value as completely received.
     pub fn finish(&self) {
-        self.whole.set(true);
-        self.change();
+        self.complete.set(true);
+        self.notify();
     }
 
     /// Marks the value as never to be completed, and discards buffered bytes.
     pub fn abort(&self) {
-        self.gone.set(true);
+        self.aborted.set(true);
         self.skip();
     }
 
     /// Discards buffered bytes and those that follow.
     pub fn skip(&self) {
         self.skipped.set(true);
-        self.waiting.take();
-        self.change();
+        self.buffered.take();
+        self.notify();
     }
 
     /// Whether the value can still be sent from its first byte.
-    pub fn untouched(&self) -> bool {
-        !self.begun.get() && !self.skipped.get()
+    pub fn is_unsent(&self) -> bool {
+        !self.started.get() && !self.skipped.get()
     }
 
     /// Removes and returns the buffered bytes, or the state of the value if there are none.
     pub fn next(&self) -> NextChunk {
-        let bytes = self.waiting.take();
+        let bytes = self.buffered.take();
         if !bytes.is_empty() {
-            self.begun.set(true);
-            self.change();
+            self.started.set(true);
+            self.notify();
             return NextChunk::Bytes(bytes);
         }
-        if self.gone.get() || self.skipped.get() {
+        if self.aborted.get() || self.skipped.get() {
             return NextChunk::Aborted;
         }
-        if self.whole.get() {
+        if self.complete.get() {
             NextChunk::End
         } else {
             NextChunk::Wait
@@ -117,13 +117,13 @@
     }
 
     /// Waits for the next state change.
-    pub async fn change_of(&self) {
+    pub async fn changed(&self) {
         self.changed.listen().await;
     }
 
     /// Waits until the value is completely received.
-    pub async fn until_whole(&self) {
-        while !self.whole.get() {
+    pub async fn wait_complete(&self) {
+        while !self.complete.get() {
             self.changed.listen().await;
         }
     }
--- a/proxy/src/wire/streamed_value/tests.rs
+++ b/proxy/src/wire/streamed_value/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
 #[test]
-fn bytes_go_through_once_and_what_nobody_wants_is_not_kept() {
-    let upload = StreamedValue::new(100_000);
-    assert_eq!((upload.next(), upload.untouched()), (NextChunk::Wait, true));
-    upload.push(&[1; MAX_BUFFERED]);
-    assert_eq!((upload.room(), upload.untouched()), (0, true));
-    assert_eq!(upload.next(), NextChunk::Bytes(vec![1; MAX_BUFFERED]));
-    assert_eq!((upload.room(), upload.untouched()), (MAX_BUFFERED, false));
-    upload.push(&[2; 100_000 - MAX_BUFFERED]);
-    upload.finish();
-    assert!(matches!(upload.next(), NextChunk::Bytes(_)));
-    assert_eq!(upload.next(), NextChunk::End);
+fn returns_each_byte_once_and_discards_bytes_after_skip() {
+    let value = StreamedValue::new(100_000);
+    assert_eq!((value.next(), value.is_unsent()), (NextChunk::Wait, true));
+    value.push(&[1; MAX_BUFFERED_BYTES]);
+    assert_eq!((value.available(), value.is_unsent()), (0, true));
+    assert_eq!(value.next(), NextChunk::Bytes(vec![1; MAX_BUFFERED_BYTES]));
+    assert_eq!((value.available(), value.is_unsent()), (MAX_BUFFERED_BYTES, false));
+    value.push(&[2; 100_000 - MAX_BUFFERED_BYTES]);
+    value.finish();
+    assert!(matches!(value.next(), NextChunk::Bytes(_)));
+    assert_eq!(value.next(), NextChunk::End);
     let skipped = StreamedValue::new(100_000);
     skipped.push(&[1; 10]);
     skipped.skip();
     skipped.push(&[1; 10]);
     assert_eq!(
-        (skipped.next(), skipped.room(), skipped.untouched()),
+        (skipped.next(), skipped.available(), skipped.is_unsent()),
         (NextChunk::Aborted, usize::MAX, false)
     );
 }
--- a/proxy/tests/session_end.rs
+++ b/proxy/tests/session_end.rs
@@ -16,7 +16,7 @@
         }
         match session.next_event() {
             Some(SessionEvent::Command(place, _) | SessionEvent::Ping(place)) => places.push(place),
-            None if session.incoming().is_some_and(|upload| upload.room() == 0) => {}
+            None if session.incoming().is_some_and(|upload| upload.available() == 0) => {}
             None => return places,
         }
     }
--- a/testbed/tests/stand.rs
+++ b/testbed/tests/stand.rs
@@ -67,7 +67,7 @@
 /// What each side writes, the other reads, and as what it was meant.
 #[test]
 fn the_proxy_and_the_stand_ins_understand_each_other() {
-    let Ok(ClientCommand::Object(got)) = parse(resp::Value::Array(Some(
+    let Ok(ClientCommand::Request(got)) = parse(resp::Value::Array(Some(
         ["OBJ.SET", "k", "i", "c=close,t=acme,d=480", "week"]
             .iter()
             .map(|w| resp::Value::Bulk(Some(w.as_bytes().to_vec())))
@@ -105,7 +105,7 @@
         let mut bytes = Vec::new();
         say.write(&mut bytes);
         let reply = whole(backend::Decoder::default().feed(&bytes));
-        seen.insert(format!("{:?}", reply.ending));
+        seen.insert(format!("{:?}", reply.outcome));
     }
     assert_eq!(seen.len(), 4, "a value is a value, with and without its report; the rest differ: {seen:?}");
     let mut endings = std::collections::BTreeSet::new();
@@ -113,7 +113,7 @@
         let mut bytes = Vec::new();
         say.write(Some("rate=1"), &mut bytes);
         let reply = whole(origin::Decoder::default().feed(&bytes));
-        endings.insert(format!("{:?}", reply.ending));
+        endings.insert(format!("{:?}", reply.outcome));
     }
     assert_eq!(endings.len(), 3, "{endings:?}");
 }
@@ -153,9 +153,9 @@
 }
 
 /// The reply, where all of it has come.
-fn whole(mut pieces: Vec<backend::Piece>) -> backend::Reply {
+fn whole(mut pieces: Vec<backend::ReplyPart>) -> backend::Reply {
     match pieces.pop() {
-        Some(backend::Piece::Over(reply)) => reply,
+        Some(backend::ReplyPart::Complete(reply)) => reply,
         other => panic!("a whole answer: {other:?}"),
     }
 }
