--- a/proxy/src/wire/client_session/reply_queue.rs
+++ b/proxy/src/wire/client_session/reply_queue.rs
@@ -1,79 +1,79 @@
-//! The replies of one client connection, in the order of its commands, and the bytes of them that go out.
+//! Queue of the replies of one client connection. Replies are written in command order.
 
 use std::collections::VecDeque;
 
-/// Replies by the place of their command in the order of the connection's commands.
+/// Replies, addressed by the sequence number of their command on the connection.
 #[derive(Default)]
 pub struct ReplyQueue {
-    /// Those that have not gone out, oldest first; `None` while one is not there.
+    /// Replies not yet moved to the output, oldest first; `None` until the reply is known.
     slots: VecDeque<Option<Vec<u8>>>,
-    /// The place of the oldest of them.
+    /// Sequence number of the first slot.
     first: u64,
-    /// The reply at this place waits, whatever it is: a command is answered behind its last byte.
-    held: Option<u64>,
+    /// Sequence number of a reply that is held back because its command is still being received.
+    held_back: Option<u64>,
     out: Vec<u8>,
-    /// Bytes of `out` that were written.
+    /// Bytes of `out` already written.
     written: usize,
-    /// The oldest reply is being relayed as it comes.
+    /// The oldest reply is being relayed while it is received.
     relaying: bool,
-    /// It could not be relayed to its end: what has come of it goes out, and nothing behind it.
+    /// The relayed reply was cut off; no bytes are added to the output any more.
     cut: bool,
 }
 
 impl ReplyQueue {
-    /// Another command is owed a reply: its place.
+    /// Adds a slot for the next command's reply and returns its sequence number.
     pub fn push(&mut self) -> u64 {
         self.slots.push_back(None);
         self.first + self.slots.len() as u64 - 1
     }
 
-    /// Holds the reply at this place back.
-    pub fn hold(&mut self, place: u64) {
-        self.held = Some(place);
+    /// Holds back the reply at `sequence`, and those behind it, until [`ReplyQueue::release`].
+    pub fn hold(&mut self, sequence: u64) {
+        self.held_back = Some(sequence);
     }
 
-    /// Holds no reply back any more.
+    /// Ends the hold of [`ReplyQueue::hold`].
     pub fn release(&mut self) {
-        self.held = None;
+        self.held_back = None;
         self.advance();
     }
 
-    /// Gives the reply to the command at this place, unless it has one.
-    pub fn put(&mut self, place: u64, bytes: Vec<u8>) {
-        let slot = place.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize));
+    /// Sets the reply at `sequence`. Ignored if that reply is already set.
+    pub fn set(&mut self, sequence: u64, bytes: Vec<u8>) {
+        let slot = sequence.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize));
         if let Some(slot @ None) = slot {
             *slot = Some(bytes);
         }
         self.advance();
     }
 
-    /// Whether the reply at this place is still to come.
-    pub fn awaits(&self, place: u64) -> bool {
-        let slot = place.checked_sub(self.first).and_then(|i| self.slots.get(i as usize));
+    /// Whether the reply at `sequence` is not set yet.
+    pub fn is_missing(&self, sequence: u64) -> bool {
+        let slot = sequence.checked_sub(self.first).and_then(|i| self.slots.get(i as usize));
         matches!(slot, Some(None))
     }
 
-    /// Whether the reply at this place is the next one to go out.
-    pub fn is_next(&self, place: u64) -> bool {
-        place == self.first && matches!(self.slots.front(), Some(None))
+    /// Whether the reply at `sequence` is not set yet and all earlier ones are in the output.
+    pub fn is_next(&self, sequence: u64) -> bool {
+        sequence == self.first && matches!(self.slots.front(), Some(None))
     }
 
-    /// Begins to relay the reply that is next: a value of so many bytes.
+    /// Starts to relay the next reply, a value of `length` bytes.
     pub fn begin_relay(&mut self, length: usize) {
         self.relaying = true;
         self.append(format!("${length}\r\n").as_bytes());
     }
 
-    /// Relays some of its bytes.
+    /// Appends bytes of the relayed value. Ignored after [`ReplyQueue::cut_relay`].
     pub fn relay(&mut self, bytes: &[u8]) {
         if self.relaying && !self.cut {
             self.append(bytes);
         }
     }
 
-    /// The reply at this place has been relayed to its end.
-    pub fn end_relay(&mut self, place: u64) {
-        if self.is_relaying(place) {
+    /// Completes the relayed reply at `sequence`.
+    pub fn end_relay(&mut self, sequence: u64) {
+        if self.is_relaying(sequence) {
             self.relaying = false;
             self.append(b"\r\n");
             self.slots.pop_front();
@@ -82,36 +82,36 @@
         }
     }
 
-    /// The reply that is being relayed ends in the middle.
+    /// Cuts off the reply that is being relayed.
     pub fn cut_relay(&mut self) {
         self.cut = true;
     }
 
-    /// Whether the reply at this place is being relayed.
-    pub fn is_relaying(&self, place: u64) -> bool {
-        self.relaying && place == self.first
+    /// Whether the reply at `sequence` is being relayed.
+    pub fn is_relaying(&self, sequence: u64) -> bool {
+        self.relaying && sequence == self.first
     }
 
-    /// Whether a reply is being relayed: no further command is taken meanwhile.
-    pub fn relaying(&self) -> bool {
+    /// Whether a reply is being relayed. No further command is accepted meanwhile.
+    pub fn has_relay(&self) -> bool {
         self.relaying
     }
 
-    /// Whether a reply was cut.
+    /// Whether a relayed reply was cut off.
     pub fn was_cut(&self) -> bool {
         self.cut
     }
 
     fn append(&mut self, bytes: &[u8]) {
-        // What is written makes room before more is kept.
+        // Frees written bytes first.
         self.out.drain(..std::mem::take(&mut self.written));
         self.out.extend_from_slice(bytes);
     }
 
-    /// Has those replies written that no other is owed before.
+    /// Moves replies to the output, up to the first one that is missing or held back.
     fn advance(&mut self) {
         while let Some(Some(bytes)) = self.slots.front_mut() {
-            if self.held == Some(self.first) {
+            if self.held_back == Some(self.first) {
                 return;
             }
             if self.written == self.out.len() {
@@ -124,37 +124,37 @@
         }
     }
 
-    /// What is to be written.
+    /// Bytes to write to the client.
     pub fn output(&self) -> &[u8] {
         self.out.get(self.written..).unwrap_or_default()
     }
 
-    /// So many bytes of the output were written.
-    pub fn wrote(&mut self, n: usize) {
+    /// Removes the first `n` bytes of the output, which were written.
+    pub fn mark_written(&mut self, n: usize) {
         self.written = (self.written + n).min(self.out.len());
         if self.written == self.out.len() {
             (self.out, self.written) = (Vec::new(), 0);
         }
     }
 
-    /// Whether a reply is owed or not written yet.
+    /// Whether a reply is missing or not yet written.
     pub fn busy(&self) -> bool {
         !self.slots.is_empty() || !self.output().is_empty()
     }
 
-    /// Bytes of replies that are there and not written.
+    /// Bytes of known replies that are not yet written.
     pub fn unsent_bytes(&self) -> usize {
         self.output().len() + self.slots.iter().flatten().map(Vec::len).sum::<usize>()
     }
 
-    /// How many replies have not gone out.
+    /// Number of replies not yet moved to the output.
     pub fn pending(&self) -> usize {
         self.slots.len()
     }
 
-    /// The places of the replies that have not come yet.
-    pub fn pending_places(&self) -> Vec<u64> {
-        let open = self.slots.iter().enumerate().filter(|(_, reply)| reply.is_none());
-        open.map(|(i, _)| self.first + i as u64).collect()
+    /// Positions of the replies that are not set yet.
+    pub fn pending_sequences(&self) -> Vec<u64> {
+        let missing = self.slots.iter().enumerate().filter(|(_, reply)| reply.is_none());
+        missing.map(|(i, _)| self.first + i as u64).collect()
     }
 }
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -1,11 +1,11 @@
-//! Attempts: one command out on a pooled connection, one reply back.
+//! Runs attempts: sends one command on a pooled connection and reads its reply.
 
 use super::connection::{checkout, Connection};
 use super::Runtime;
 use crate::negative_cache::KeyLookup;
 use crate::outcome::AttemptOutcome;
 use crate::proxy::{AttemptId, AttemptReply, ReplySlot};
-use crate::wire::backend::{self, Piece, Reply};
+use crate::wire::backend::{self, Reply, ReplyPart};
 use crate::wire::command::BackendCommand;
 use crate::wire::streamed_value::{NextChunk, StreamedValue};
 use crate::wire::{origin, MAX_VALUE};
@@ -18,31 +18,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A reply that has begun comes on without such a pause. A length may promise more than will
-/// ever come, and the request would wait for it until its client gives up.
-const STALLED: Duration = Duration::from_millis(100);
-/// And one that is passed on without such a one: its client has part of it, and nothing can be asked again.
+/// Maximum pause within a buffered reply. A stalled attempt ends early enough for a retry before the client's
+/// deadline.
+const STALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum pause while a value is relayed in either direction. A relayed transfer cannot be retried.
 const RELAY_STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The part of the room for large answers that one attempt uses.
-struct Large<'a> {
+
+/// The share of the memory limit for large replies that one attempt uses.
+struct LargeReplyShare<'a> {
     runtime: &'a Runtime,
     bytes: usize,
 }
 
-impl Large<'_> {
-    /// Counts what has come so far, beyond what is reckoned for any value. False if there is no room for it.
-    fn grown(&mut self, got: usize) -> bool {
-        let bytes = got.saturating_sub(MAX_VALUE);
-        let all = self.runtime.large.get() - self.bytes + bytes;
+impl LargeReplyShare<'_> {
+    /// Accounts for the bytes received so far, less the [`MAX_VALUE`] that every request is accounted for. Returns
+    /// false if the limit is exceeded.
+    fn try_grow(&mut self, received: usize) -> bool {
+        let bytes = received.saturating_sub(MAX_VALUE);
+        let all = self.runtime.large_reply_bytes.get() - self.bytes + bytes;
         self.bytes = bytes;
-        self.runtime.large.set(all);
+        self.runtime.large_reply_bytes.set(all);
         all <= self.runtime.room.get().large || bytes == 0
     }
 }
 
-impl Drop for Large<'_> {
+impl Drop for LargeReplyShare<'_> {
     fn drop(&mut self) {
-        self.runtime.large.set(self.runtime.large.get() - self.bytes);
+        self.runtime.large_reply_bytes.set(self.runtime.large_reply_bytes.get() - self.bytes);
     }
 }
 
@@ -52,17 +54,17 @@
 }
 
 impl Decoder {
-    fn feed(&mut self, bytes: &[u8]) -> Vec<Piece> {
+    fn feed(&mut self, bytes: &[u8]) -> Vec<ReplyPart> {
         match self {
             Decoder::Backend(decoder) => decoder.feed(bytes),
             Decoder::Origin(decoder) => decoder.feed(bytes),
         }
     }
 
-    fn begun(&self) -> bool {
+    fn has_partial_reply(&self) -> bool {
         match self {
-            Decoder::Backend(decoder) => decoder.begun(),
-            Decoder::Origin(decoder) => decoder.begun(),
+            Decoder::Backend(decoder) => decoder.has_partial_reply(),
+            Decoder::Origin(decoder) => decoder.has_partial_reply(),
         }
     }
 
@@ -71,11 +73,11 @@
             Decoder::Backend(_) => None,
             Decoder::Origin(decoder) => decoder.closed(),
         };
-        whole.unwrap_or(Reply::bare(AttemptOutcome::BrokenSent))
+        whole.unwrap_or(Reply::without_value(AttemptOutcome::BrokenSent))
     }
 }
 
-/// What the log tells of an attempt beyond its ending.
+/// Timestamps of an attempt; 0 until the step is reached.
 #[derive(Default)]
 struct AttemptTimings {
     connected: Micros,
@@ -85,94 +87,94 @@
 }
 
 impl AttemptTimings {
-    /// From the command to the first byte of its answer, where a new connection's handshake is not in it.
-    fn took(&self) -> Option<Micros> {
+    /// Time from the written command to the first byte of the reply; `None` on a new connection.
+    fn response_time(&self) -> Option<Micros> {
         self.first.checked_sub(self.written).filter(|_| !self.new)
     }
 }
 
-/// What an attempt keeps to.
+/// Deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// When it is given up.
+    /// When the attempt times out.
     pub give_up_at: Micros,
-    /// From then on its command may not be written any more.
+    /// Latest time to start writing the command.
     pub begin_by: Micros,
 }
 
-/// One attempt.
+/// One attempt of a request at one server.
 pub struct Attempt {
-    /// Its number.
+    /// Attempt id.
     pub id: AttemptId,
-    /// To whom.
+    /// Server that the command is sent to.
     pub server: ServerId,
-    /// What is sent.
+    /// Command to send.
     pub command: Rc<BackendCommand>,
-    /// What it keeps to.
+    /// Deadlines of the attempt.
     pub deadlines: AttemptDeadlines,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Default)]
 struct Progress {
-    /// The command's last byte was written: on this hangs whether it may have run.
+    /// Set once the last byte of the command was written; the server may have executed it from then on.
     sent: Cell<bool>,
-    /// Its answer is being relayed: no time ends it any more.
+    /// Set once the reply is being relayed; the attempt no longer times out.
     relaying: Cell<bool>,
 }
 
-/// Where an answer is passed on to, once more of it may be; `None` when its client has gone.
-async fn still(runtime: &Runtime, client: Option<ReplySlot>) -> Option<ReplySlot> {
+/// Waits until the client can receive more of a relayed reply; `None` if it has left.
+async fn await_relay(runtime: &Runtime, client: Option<ReplySlot>) -> Option<ReplySlot> {
     match client {
-        Some(place) if runtime.relay_ready(place).await => Some(place),
+        Some(slot) if runtime.relay_ready(slot).await => Some(slot),
         _ => None,
     }
 }
 
-/// Runs one attempt and tells the proxy how it ended.
+/// Runs one attempt and reports its outcome to the proxy.
 pub async fn run(runtime: Rc<Runtime>, attempt: Attempt) {
-    let (attempt_id, server, call) = (attempt.id, attempt.server, &attempt.command);
-    let begun = runtime.clock.now();
-    let (progress, mut trace) = (Progress::default(), AttemptTimings::default());
-    let given_up = give_up(&runtime, &attempt, begun, &progress);
-    let reply = future::or(exchange(&runtime, &attempt, &progress, &mut trace), given_up).await;
+    let (attempt_id, server, command) = (attempt.id, attempt.server, &attempt.command);
+    let started_at = runtime.clock.now();
+    let (progress, mut timings) = (Progress::default(), AttemptTimings::default());
+    let timed_out = time_out(&runtime, &attempt, started_at, &progress);
+    let reply = future::or(exchange(&runtime, &attempt, &progress, &mut timings), timed_out).await;
     log::debug!(
-        attempt_id, server, ending = reply.ending.name();
-        "attempt {attempt_id} to {server}: {}, {} us, of these {} for a connection, {} to the first byte, new={}",
-        reply.ending.name(),
-        runtime.clock.now() - begun,
-        trace.connected.saturating_sub(begun),
-        trace.first.saturating_sub(trace.written),
-        trace.new
+        attempt_id, server, ending = reply.outcome.name();
+        "attempt {attempt_id} to {server}: {}, {} us in total, {} us to connect, {} us to the first byte, new={}",
+        reply.outcome.name(),
+        runtime.clock.now() - started_at,
+        timings.connected.saturating_sub(started_at),
+        timings.first.saturating_sub(timings.written),
+        timings.new
     );
-    if let Some(task) = runtime.attempts_out.borrow_mut().remove(&attempt_id) {
+    if let Some(task) = runtime.attempts_in_flight.borrow_mut().remove(&attempt_id) {
         task.detach();
     }
-    if let Some(missing) = runtime.missing.as_ref().filter(|_| call.writes().is_some()) {
-        // A receipt that is given was voided for before; any other write that went out whole may have run.
-        if progress.sent.get() && !matches!(reply.ending, AttemptOutcome::Served | AttemptOutcome::Rejected) {
-            missing.add_tombstone(&call.key);
+    if let Some(negative_cache) = runtime.negative_cache.as_ref().filter(|_| command.value_len().is_some()) {
+        // A served write was invalidated before its receipt. Any other write that was sent may have been executed.
+        if progress.sent.get() && !matches!(reply.outcome, AttemptOutcome::Served | AttemptOutcome::Rejected)
+        {
+            negative_cache.add_tombstone(&command.key);
         }
     }
-    let waited = call.streamed.as_ref().map(|_| match trace.written {
+    let wait_time = command.streamed.as_ref().map(|_| match timings.written {
         0 => 0,
         written => runtime.clock.now().saturating_sub(written),
     });
-    // A transfer must not pass for a jam: what of a large value is still in the sockets when its last byte is written
-    // cannot be told from the origin's time.
-    let took = trace.took().filter(|_| call.streamed.is_none() && trace.first > 0);
-    let brought = AttemptReply { value: reply.value, took, waited };
-    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.ending, brought));
+    // Not measured for streamed values: the time would include the transfer of bytes still buffered in the sockets.
+    let response_time = timings.response_time().filter(|_| command.streamed.is_none() && timings.first > 0);
+    let attempt_reply = AttemptReply { value: reply.value, took: response_time, waited: wait_time };
+    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, attempt_reply));
 }
 
-/// Waits until an attempt is to be given up.
-async fn give_up(runtime: &Runtime, attempt: &Attempt, begun: Micros, progress: &Progress) -> Reply {
+/// Waits until an attempt times out.
+async fn time_out(runtime: &Runtime, attempt: &Attempt, started_at: Micros, progress: &Progress) -> Reply {
     let give_up_at = attempt.deadlines.give_up_at;
     match &attempt.command.streamed {
-        // The client's time runs from its last byte.
+        // The deadline of a streamed write starts when its last byte was received.
         Some(streamed) => {
-            streamed.until_whole().await;
-            let wait = give_up_at.saturating_sub(begun);
+            streamed.wait_complete().await;
+            let wait = give_up_at.saturating_sub(started_at);
             let wait = wait.min(attempt.command.wait).min(runtime.network.max_request_time());
             Timer::after(Duration::from_micros(wait)).await;
         }
@@ -183,21 +185,21 @@
     if progress.relaying.get() {
         future::pending::<()>().await;
     }
-    Reply::bare(if progress.sent.get() {
+    Reply::without_value(if progress.sent.get() {
         AttemptOutcome::TimedOutSent
     } else {
         AttemptOutcome::TimedOutUnsent
     })
 }
 
-/// Sends an attempt's command and reads its reply.
+/// Sends an attempt's command and reads the reply.
 async fn exchange(
     runtime: &Rc<Runtime>,
     attempt: &Attempt,
     progress: &Progress,
-    trace: &mut AttemptTimings,
+    timings: &mut AttemptTimings,
 ) -> Reply {
-    let (server, call) = (attempt.server, &*attempt.command);
+    let (server, command) = (attempt.server, &*attempt.command);
     let AttemptDeadlines { give_up_at, begin_by } = attempt.deadlines;
     let Some((process, is_origin)) = runtime
         .proxy
@@ -207,68 +209,70 @@
         .filter(|w| w.serving)
         .map(|w| (w.process(), w.origin))
     else {
-        return Reply::bare(AttemptOutcome::NotSent);
+        return Reply::without_value(AttemptOutcome::NotSent);
     };
-    let missing = runtime.missing.as_ref().filter(|_| is_origin);
-    let looked = match missing.filter(|_| call.writes().is_none()) {
-        Some(missing) => match missing.lookup(&call.key).await {
-            KeyLookup::KnownMissing => return Reply::bare(AttemptOutcome::Absent),
-            KeyLookup::AskOrigin(looked) => Some(looked),
+    let negative_cache = runtime.negative_cache.as_ref().filter(|_| is_origin);
+    let lookup = match negative_cache.filter(|_| command.value_len().is_none()) {
+        Some(negative_cache) => match negative_cache.lookup(&command.key).await {
+            KeyLookup::KnownMissing => return Reply::without_value(AttemptOutcome::Absent),
+            KeyLookup::AskOrigin(lookup) => Some(lookup),
         },
         None => None,
     };
     let generation = runtime.pools.borrow_mut().generation(server);
     let endpoint = process.0;
-    let connection = match checkout(runtime, server, endpoint, &mut trace.new).await {
+    let connection = match checkout(runtime, server, endpoint, &mut timings.new).await {
         Ok(connection) => connection,
-        Err(ending) => return Reply::bare(ending),
+        Err(outcome) => return Reply::without_value(outcome),
     };
-    trace.connected = runtime.clock.now();
-    if let Err(ending) = runtime.may_begin(attempt.id, (server, process), begin_by) {
-        return Reply::bare(ending);
+    timings.connected = runtime.clock.now();
+    if let Err(outcome) = runtime.check_before_write(attempt.id, (server, process), begin_by) {
+        return Reply::without_value(outcome);
     }
-    // A value that passes through has longer to come in, and its client waits no longer once it has.
-    let wait = give_up_at.saturating_sub(trace.connected).min(call.wait);
+    // `give_up_at` of a streamed write includes the time to receive the value, so `command.wait` bounds it.
+    let wait = give_up_at.saturating_sub(timings.connected).min(command.wait);
     let (bytes, mut decoder) = if is_origin {
-        (origin::encode(call, wait, &endpoint.to_string()), Decoder::Origin(origin::Decoder::default()))
+        (origin::encode(command, wait, &endpoint.to_string()), Decoder::Origin(origin::Decoder::default()))
     } else {
-        (backend::encode(call, wait), Decoder::Backend(backend::Decoder::default()))
+        (backend::encode(command, wait), Decoder::Backend(backend::Decoder::default()))
     };
-    let written = match &call.streamed {
+    let written = match &command.streamed {
         None => write(&connection, &bytes, &progress.sent).await,
-        Some(streamed) if streamed.untouched() => {
+        Some(streamed) if streamed.is_unsent() => {
             let tail: &[u8] = if is_origin { b"" } else { b"\r\n" };
-            pass_through(&connection, &bytes, streamed, tail, &progress.sent).await
+            write_streamed(&connection, &bytes, streamed, tail, &progress.sent).await
         }
-        // Its bytes are gone: they were sent, or nobody wants them any more.
+        // The value was already sent in part or discarded.
         Some(_) => Err(AttemptOutcome::NotSent),
     };
-    if let Err(ending) = written {
-        return Reply::bare(ending);
+    if let Err(outcome) = written {
+        return Reply::without_value(outcome);
     }
     runtime.proxy.borrow_mut().counters.attempts += 1;
     drop(bytes);
-    trace.written = runtime.clock.now();
-    let reply = read(runtime, &connection, &mut decoder, attempt.id, progress, trace).await;
-    if trace.first > 0 {
+    timings.written = runtime.clock.now();
+    let reply = read(runtime, &connection, &mut decoder, attempt.id, progress, timings).await;
+    if timings.first > 0 {
         runtime.reachability.borrow_mut().reached(endpoint);
     }
     if reply.reusable {
         let now = runtime.clock.now();
         runtime.pools.borrow_mut().put(now, server, generation, connection);
     }
-    match (missing, looked, reply.ending) {
-        (Some(missing), Some(looked), AttemptOutcome::Absent) => missing.insert(&call.key, looked),
-        (Some(missing), None, AttemptOutcome::Served) => {
-            // Before the receipt goes out, nobody may answer any more that the key is missing.
+    match (negative_cache, lookup, reply.outcome) {
+        (Some(negative_cache), Some(lookup), AttemptOutcome::Absent) => {
+            negative_cache.insert(&command.key, lookup);
+        }
+        (Some(negative_cache), None, AttemptOutcome::Served) => {
+            // Before the receipt is returned, no proxy may report the key as missing any more.
             let until = runtime.clock.instant(give_up_at);
-            if !missing.invalidate(&call.key, until).await {
-                return Reply::bare(AttemptOutcome::Errored);
+            if !negative_cache.invalidate(&command.key, until).await {
+                return Reply::without_value(AttemptOutcome::Errored);
             }
         }
-        // Without the filter a null promises more than a failure: nobody keeps what the origin had.
+        // A 404 is a failure unless it answers a read that the negative cache covers.
         (None, _, AttemptOutcome::Absent) | (_, None, AttemptOutcome::Absent) => {
-            return Reply { ending: AttemptOutcome::Errored, ..reply }
+            return Reply { outcome: AttemptOutcome::Errored, ..reply }
         }
         _ => {}
     }
@@ -276,11 +280,10 @@
 }
 
 impl Runtime {
-    /// Whether an attempt's command may be written now, and how it ends if not. Time has gone by since it was decided
-    /// on: a connection came up or was at rest. Its client may have left meanwhile, its
-    /// request may be over, its backend may have been taken out or restarted, and a repeat may come too late to be known
-    /// for one.
-    fn may_begin(
+    /// Checks again whether the command may be written, since getting a connection took time. Returns the outcome of
+    /// the attempt if the client has left, the request is answered, the server was drained or restarted, or
+    /// `begin_by` has passed.
+    fn check_before_write(
         self: &Rc<Self>,
         attempt_id: AttemptId,
         (server, process): (ServerId, (SocketAddr, Micros)),
@@ -292,7 +295,7 @@
             (backend.is_some(), proxy.awaited(attempt_id))
         };
         match awaited {
-            Some(slot) if !self.client_gone(slot.connection) => {}
+            Some(slot) if !self.client_has_left(slot.connection) => {}
             _ => return Err(AttemptOutcome::Cancelled),
         }
         if unchanged && self.clock.now() < begin_by {
@@ -303,9 +306,9 @@
     }
 }
 
-/// Writes a command whose value passes through. `sent` is set with its last byte and not before: a client that goes
-/// away in the middle has asked for nothing.
-async fn pass_through(
+/// Writes a command with a streamed value. Sets `sent` once the last byte is written, so a client that disconnects
+/// before the end of the value has sent no request.
+async fn write_streamed(
     connection: &Connection,
     head: &[u8],
     streamed: &StreamedValue,
@@ -321,10 +324,10 @@
         };
         future::or(write(connection, &bytes, &unfinished), stalled).await?;
         bytes = loop {
-            let change = streamed.change_of();
+            let changed = streamed.changed();
             match streamed.next() {
                 NextChunk::Bytes(bytes) => break bytes,
-                NextChunk::Wait => change.await,
+                NextChunk::Wait => changed.await,
                 NextChunk::End => return write(connection, tail, sent).await,
                 NextChunk::Aborted => return Err(AttemptOutcome::NotSent),
             }
@@ -332,7 +335,7 @@
     }
 }
 
-/// Writes the command. `sent` is set with its last byte and not before.
+/// Writes `bytes` and sets `sent` once the last byte is written.
 async fn write(connection: &Connection, mut bytes: &[u8], sent: &Cell<bool>) -> Result<(), AttemptOutcome> {
     while !bytes.is_empty() {
         match connection.io.get_ref().write(bytes) {
@@ -355,63 +358,63 @@
     decoder: &mut Decoder,
     attempt_id: AttemptId,
     progress: &Progress,
-    trace: &mut AttemptTimings,
+    timings: &mut AttemptTimings,
 ) -> Reply {
     let mut buffer = vec![0; MAX_VALUE / 4];
-    let (mut got, mut large) = (0, Large { runtime, bytes: 0 });
-    // Where the answer is passed on to, once it is and while its client is there.
+    let (mut received, mut large_share) = (0, LargeReplyShare { runtime, bytes: 0 });
+    // The client's reply slot, while a reply is relayed to it.
     let mut client = None;
     loop {
         match connection.io.get_ref().read(&mut buffer) {
             Ok(0) => return decoder.closed(),
             Ok(n) => {
-                if got == 0 {
-                    trace.first = runtime.clock.now();
+                if received == 0 {
+                    timings.first = runtime.clock.now();
                 }
-                got += n;
-                if !progress.relaying.get() && !large.grown(got) {
-                    return Reply::bare(AttemptOutcome::NoCapacity);
+                received += n;
+                if !progress.relaying.get() && !large_share.try_grow(received) {
+                    return Reply::without_value(AttemptOutcome::NoCapacity);
                 }
-                for piece in decoder.feed(buffer.get(..n).unwrap_or_default()) {
-                    match piece {
-                        Piece::Begun(length) => {
+                for part in decoder.feed(buffer.get(..n).unwrap_or_default()) {
+                    match part {
+                        ReplyPart::ValueStart(length) => {
                             progress.relaying.set(true);
-                            let took = trace.took();
-                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, took));
-                            client = still(runtime, client).await;
-                            if let Some(place) = client {
+                            let response_time = timings.response_time();
+                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, response_time));
+                            client = await_relay(runtime, client).await;
+                            if let Some(slot) = client {
                                 runtime
-                                    .with_session(place, |session| session.replies_mut().begin_relay(length));
+                                    .with_session(slot, |session| session.replies_mut().begin_relay(length));
                             }
                         }
-                        Piece::Data(data) => {
-                            if let Some(place) = client {
-                                runtime.with_session(place, |session| session.replies_mut().relay(&data));
+                        ReplyPart::ValueData(data) => {
+                            if let Some(slot) = client {
+                                runtime.with_session(slot, |session| session.replies_mut().relay(&data));
                             }
                         }
-                        Piece::Over(reply) => return reply,
+                        ReplyPart::Complete(reply) => return reply,
                     }
                 }
-                // No more is read than its client takes; one that has gone holds nothing up.
-                client = still(runtime, client).await;
+                // Waits for the client to accept more; if it has left, the rest is read without waiting.
+                client = await_relay(runtime, client).await;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 let stalled = async {
-                    match decoder.begun() {
+                    match decoder.has_partial_reply() {
                         _ if progress.relaying.get() => Timer::after(RELAY_STALL_TIMEOUT).await,
-                        true => Timer::after(STALLED).await,
+                        true => Timer::after(STALL_TIMEOUT).await,
                         false => future::pending().await,
                     };
                     Some(AttemptOutcome::Garbled)
                 };
                 let readable =
                     async { connection.io.readable().await.err().map(|_| AttemptOutcome::BrokenSent) };
-                if let Some(ending) = future::or(readable, stalled).await {
-                    return Reply::bare(ending);
+                if let Some(outcome) = future::or(readable, stalled).await {
+                    return Reply::without_value(outcome);
                 }
             }
-            Err(_) => return Reply::bare(AttemptOutcome::BrokenSent),
+            Err(_) => return Reply::without_value(AttemptOutcome::BrokenSent),
         }
     }
 }
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, for as long as there are descriptors for them.
+//! Accepts client connections within the descriptor budget.
 
 use super::{serve, Client};
 use crate::net::{lacks_descriptor, Listener};
@@ -11,42 +11,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause before it is tried again to get a descriptor.
+/// Pause between attempts to get a descriptor from the budget.
 const DESCRIPTOR_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// Descriptors are short until nobody has come for so long.
-const CALM: Micros = 20_000;
+/// The descriptor shortage ends once no client has connected for this long.
+const SHORTAGE_RESET_US: Micros = 20_000;
 
 /// Accepts connections until the task is dropped.
 pub async fn accept(runtime: Rc<Runtime>, listener: Rc<Listener>) {
-    // Since when room is short: of a crowd, none but the first has to wait for those who stay to be asked to go.
-    let mut short_since = None;
+    // Start of the current shortage. It spans consecutive accepts, so that only the first client waits for the
+    // stricter eviction levels.
+    let mut shortage_since = None;
     loop {
-        // A descriptor of the budget first: a connection that could not be served is left to the backlog.
+        // Takes a descriptor before accepting: a connection that cannot be served stays in the backlog.
         let ticket = loop {
             match runtime.client_budget.take() {
                 Some(ticket) => break ticket,
                 None => {
-                    runtime.short.set(true);
+                    runtime.descriptors_short.set(true);
                     let now = runtime.clock.now();
-                    runtime.retire_some(Some(now.saturating_sub(*short_since.get_or_insert(now))));
+                    runtime.retire_idle(Some(now.saturating_sub(*shortage_since.get_or_insert(now))));
                     Timer::after(DESCRIPTOR_RETRY_PAUSE).await;
                 }
             }
         };
-        runtime.short.set(false);
-        // A front may hold fewer connections than there is room for here: once its own room is full of those that stay it
-        // cannot open another one, and its clients are rejected without a word from here.
+        runtime.descriptors_short.set(false);
+        // A load balancer in front may allow fewer connections than this budget, so idle connections are retired
+        // before the budget is exhausted.
         if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
-            runtime.retire_some(None);
+            runtime.retire_idle(None);
         }
-        let free_since = runtime.clock.now();
+        let accepting_since = runtime.clock.now();
         let io = listener.accept(|error| runtime.accept_failed(error)).await;
-        short_since = short_since.filter(|_| free_since + CALM > runtime.clock.now());
+        shortage_since = shortage_since.filter(|_| accepting_since + SHORTAGE_RESET_US > runtime.clock.now());
         admit(&runtime, io, ticket);
     }
 }
 
-/// Serves a connection that was accepted.
+/// Starts serving an accepted connection.
 pub fn admit(runtime: &Rc<Runtime>, io: Async<TcpStream>, ticket: Ticket) {
     runtime.proxy.borrow_mut().counters.accepted += 1;
     let id = runtime.next_client.get();
@@ -58,21 +59,21 @@
         broken: Cell::new(false),
         stalled: Cell::new(false),
         retiring: Cell::new(false),
-        used: Cell::new(runtime.clock.now()),
-        half_since: Cell::new(0),
-        room: Rc::default(),
-        unsent: Rc::clone(&runtime.unsent),
-        counted: Cell::new(0),
-        half_read: Rc::clone(&runtime.half_read),
-        counted_half: Cell::new(0),
-        moved: Cell::new(0),
+        last_active: Cell::new(runtime.clock.now()),
+        partial_since: Cell::new(0),
+        relay_ready: Rc::default(),
+        unsent_reply_bytes: Rc::clone(&runtime.unsent_reply_bytes),
+        unsent_share: Cell::new(0),
+        partial_command_bytes: Rc::clone(&runtime.partial_command_bytes),
+        partial_share: Cell::new(0),
+        last_progress: Cell::new(0),
     });
     runtime.clients.borrow_mut().insert(id, Rc::clone(&client));
     runtime.spawn(serve(Rc::clone(runtime), id, client, ticket));
 }
 
 impl Runtime {
-    /// Counts a failure to accept a client, and has a descriptor freed where none was left.
+    /// Counts a failed accept. If descriptors are exhausted, closes an idle connection.
     pub(in crate::wire::driver) fn accept_failed(&self, error: &std::io::Error) {
         let errors = {
             let counters = &mut self.proxy.borrow_mut().counters;
@@ -80,10 +81,10 @@
             counters.accept_errors
         };
         if errors.is_power_of_two() {
-            log::warn!(errors; "acceptor: cannot accept ({errors} times so far): {error}");
+            log::warn!(errors; "acceptor: cannot accept a connection ({errors} times so far): {error}");
         }
         if lacks_descriptor(error) && !self.pools.borrow_mut().evict() {
-            self.retire_some(Some(0));
+            self.retire_idle(Some(0));
         }
     }
 }
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: one task each, which reads commands and writes answers.
+//! Client connections. Each has one task that reads commands and writes replies.
 
 mod accept;
 mod eviction;
@@ -25,137 +25,140 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of a relayed answer that may wait for its client before no more of it is read.
+/// Limit on unsent bytes of a relayed reply; above it, no more is read from the server.
 const MAX_UNSENT_RELAYED: usize = MAX_VALUE / 2;
-/// While nothing is read from a client it is looked so often whether it is still there: nothing may begin for one that
-/// left 0.1 s ago.
+/// How often the connection is polled for a disconnect while it is not read. No attempt may start for a client that
+/// left 100 ms ago.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A connection that has carried nothing for so long has no first command on its way any more.
+/// Idle time after which a new connection is assumed to have no first command in flight.
 const FIRST_COMMAND_IN_FLIGHT: Micros = 20_000;
 
 /// One client connection.
 pub struct Client {
     io: Async<TcpStream>,
     session: RefCell<ClientSession>,
-    /// Tells the connection's task that there is something to write, or that it is over.
+    /// Wakes the connection's task when there is output to write or the connection has ended.
     wake: (Sender<()>, Receiver<()>),
     broken: Cell<bool>,
     stalled: Cell<bool>,
     retiring: Cell<bool>,
-    /// When something last came from it or was answered.
-    used: Cell<Micros>,
-    /// Since when half a command is there; 0 while there is none.
-    half_since: Cell<Micros>,
-    /// Tells those who pass an answer on that there is room for more of it, or that the connection is over.
-    room: Rc<Event>,
-    /// Bytes of answers that wait on any connection, and this one's part of them.
-    unsent: Rc<Cell<usize>>,
-    counted: Cell<usize>,
-    /// Bytes of half commands on any connection, and this one's part of them.
-    half_read: Rc<Cell<usize>>,
-    counted_half: Cell<usize>,
-    /// When answers last began to wait on it, or some of one was taken off it.
-    moved: Cell<Micros>,
+    /// Time of the last input or reply.
+    last_active: Cell<Micros>,
+    /// Time since which an incomplete command is buffered; 0 if there is none.
+    partial_since: Cell<Micros>,
+    /// Notified when more of a relayed reply can be accepted, or the connection has ended.
+    relay_ready: Rc<Event>,
+    /// Bytes of unsent replies on all connections, and this connection's share.
+    unsent_reply_bytes: Rc<Cell<usize>>,
+    unsent_share: Cell<usize>,
+    /// Bytes of incomplete commands on all connections, and this connection's share.
+    partial_command_bytes: Rc<Cell<usize>>,
+    partial_share: Cell<usize>,
+    /// Time of the last write progress, or when replies last began to queue.
+    last_progress: Cell<Micros>,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.unsent.set(self.unsent.get().saturating_sub(self.counted.get()));
-        self.half_read.set(self.half_read.get().saturating_sub(self.counted_half.get()));
+        self.unsent_reply_bytes.set(self.unsent_reply_bytes.get().saturating_sub(self.unsent_share.get()));
+        self.partial_command_bytes
+            .set(self.partial_command_bytes.get().saturating_sub(self.partial_share.get()));
     }
 }
 
 impl Client {
-    /// Whether an answer may be passed on now: it is the next one, and little of what went before waits.
-    fn passes(&self, place: u64) -> bool {
+    /// Whether a reply can be relayed now: it is the next one, and the unsent output is below `MAX_UNSENT_RELAYED`.
+    fn can_relay(&self, sequence: u64) -> bool {
         let session = self.session.borrow();
-        session.replies().is_next(place) && session.replies().output().len() < MAX_UNSENT_RELAYED
+        session.replies().is_next(sequence) && session.replies().output().len() < MAX_UNSENT_RELAYED
     }
 
-    /// Whether the client has ended its side, or the connection is broken, whatever of it is unread before that.
-    fn gone(&self) -> bool {
+    /// Whether the client has closed its side or the connection is broken, even if input is still unread.
+    fn has_left(&self) -> bool {
         let mut fds = [PollFd::new(&self.io, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         self.broken.get() || poll(&mut fds, Some(&at_once)).is_ok_and(|n| n > 0)
     }
 
-    /// Waits for something else than the client's next bytes; `None` if it leaves meanwhile.
-    async fn while_there<T>(&self, what: impl Future<Output = T>) -> Option<T> {
-        let gone = async {
-            while !self.gone() {
+    /// Waits for a future; `None` if the client disconnects before it completes.
+    async fn unless_left<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let left = async {
+            while !self.has_left() {
                 Timer::after(PRESENCE_CHECK_INTERVAL).await;
             }
             None
         };
-        future::or(async { Some(what.await) }, gone).await
+        future::or(async { Some(future.await) }, left).await
     }
 
-    /// Whether it may be closed where no request is open: not if a request may be on its way as its first one.
-    fn settled(&self, now: Micros) -> bool {
-        self.session.borrow().commands_received() > 0 || self.used.get() + FIRST_COMMAND_IN_FLIGHT <= now
+    /// Whether the connection can be closed when it has no pending request: false if its first request may be in
+    /// flight.
+    fn can_close_idle(&self, now: Micros) -> bool {
+        self.session.borrow().commands_received() > 0
+            || self.last_active.get() + FIRST_COMMAND_IN_FLIGHT <= now
     }
 
-    /// Has the connection closed once nothing is owed on it.
+    /// Closes the connection once no reply is pending.
     pub fn retire(&self) {
         self.retiring.set(true);
         self.wake();
     }
 
     fn wake(&self) {
-        // Full means that the task is being woken as it is.
+        // A full channel means that a wake-up is already pending.
         let _ = self.wake.0.try_send(());
     }
 
-    /// Brings the counts of waiting bytes and of half commands up to date.
-    fn recount(&self) {
-        let (waiting, half) = {
+    /// Updates the counts of unsent bytes and of bytes in incomplete commands.
+    fn update_shares(&self) {
+        let (waiting, partial) = {
             let session = self.session.borrow();
             (session.replies().unsent_bytes(), session.unparsed_bytes())
         };
-        let others = self.unsent.get().saturating_sub(self.counted.replace(waiting));
-        self.unsent.set(others + waiting);
-        let others = self.half_read.get().saturating_sub(self.counted_half.replace(half));
-        self.half_read.set(others + half);
+        let others = self.unsent_reply_bytes.get().saturating_sub(self.unsent_share.replace(waiting));
+        self.unsent_reply_bytes.set(others + waiting);
+        let others = self.partial_command_bytes.get().saturating_sub(self.partial_share.replace(partial));
+        self.partial_command_bytes.set(others + partial);
     }
 
     fn flush(&self, now: Micros) {
         let mut session = self.session.borrow_mut();
-        if self.counted.get() == 0 {
-            self.moved.set(now);
+        if self.unsent_share.get() == 0 {
+            self.last_progress.set(now);
         }
         while !session.replies().output().is_empty() {
             match self.io.get_ref().write(session.replies().output()) {
                 Ok(0) => self.broken.set(true),
                 Ok(n) => {
-                    session.replies_mut().wrote(n);
-                    self.moved.set(now);
+                    session.replies_mut().mark_written(n);
+                    self.last_progress.set(now);
                     continue;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                // A peer that is gone: its task ends, and with it what it asked for.
+                // The client has disconnected; its task ends and cancels its requests.
                 Err(_) => self.broken.set(true),
             }
             break;
         }
-        let room = session.replies().output().len() < MAX_UNSENT_RELAYED;
+        let can_relay = session.replies().output().len() < MAX_UNSENT_RELAYED;
         drop(session);
-        if room {
-            self.room.notify(usize::MAX);
+        if can_relay {
+            self.relay_ready.notify(usize::MAX);
         }
-        self.recount();
-        if self.over().is_some() || !self.session.borrow().replies().output().is_empty() {
+        self.update_shares();
+        if self.end().is_some() || !self.session.borrow().replies().output().is_empty() {
             self.wake();
         }
     }
 
-    /// Bytes that have come and are not read yet: a connection with a request in its socket is not closed on it.
-    fn unread(&self) -> usize {
+    /// Nonzero if the socket has unread input. Such a connection is not closed as idle.
+    fn unread_bytes(&self) -> usize {
         self.io.get_ref().peek(&mut [0]).unwrap_or(0)
     }
 
-    /// How the connection has ended, if it has.
-    fn over(&self) -> Option<ConnectionEnd> {
+    /// Returns why the connection has ended, or `None` while it is open.
+    fn end(&self) -> Option<ConnectionEnd> {
         let session = self.session.borrow();
         if self.broken.get() {
             Some(ConnectionEnd::ClientLeft)
@@ -165,13 +168,13 @@
             Some(match session.malformed() {
                 _ if session.replies().was_cut() => ConnectionEnd::ReplyCut,
                 true => ConnectionEnd::ClientMalformed,
-                false if session.silent() => ConnectionEnd::ClientSilent,
+                false if session.timed_out() => ConnectionEnd::ClientSilent,
                 false => ConnectionEnd::ClosedIdle,
             })
         } else if self.retiring.get()
             && !session.replies().busy()
             && session.unparsed_bytes() == 0
-            && self.unread() == 0
+            && self.unread_bytes() == 0
         {
             Some(ConnectionEnd::ClosedIdle)
         } else {
@@ -181,7 +184,8 @@
 }
 
 impl Runtime {
-    /// Waits until an answer may be passed on to its client. False if nobody waits for it any more.
+    /// Waits until a reply can be relayed to its client. Returns false if the client has disconnected or the reply
+    /// was cut off.
     pub(super) async fn relay_ready(&self, slot: ReplySlot) -> bool {
         loop {
             let Some(client) = self.clients.borrow().get(&slot.connection).map(Rc::clone) else {
@@ -190,54 +194,54 @@
             if client.session.borrow().replies().was_cut() {
                 return false;
             }
-            if client.passes(slot.sequence) {
+            if client.can_relay(slot.sequence) {
                 return true;
             }
-            // Only the event is held on to: the connection may end meanwhile.
-            let room = Rc::clone(&client.room);
+            // Keeps only the event, so that the connection can end meanwhile.
+            let relay_ready = Rc::clone(&client.relay_ready);
             drop(client);
-            room.listen().await;
+            relay_ready.listen().await;
         }
     }
 
-    /// Whether a client has left. What it was owed is called off then, also where its task has yet to find out.
-    pub(super) fn client_gone(self: &Rc<Self>, id: u64) -> bool {
+    /// Whether a client has disconnected. If so, cancels its requests, even if its task has not noticed yet.
+    pub(super) fn client_has_left(self: &Rc<Self>, id: u64) -> bool {
         let Some(client) = self.clients.borrow().get(&id).map(Rc::clone) else { return true };
-        if !client.gone() {
+        if !client.has_left() {
             return false;
         }
         client.broken.set(true);
         client.wake();
-        self.part(id, &client);
+        self.cancel_requests(id, &client);
         true
     }
 
-    /// Nothing more is read from a client, and none of the answers that it is owed are wanted.
-    fn part(self: &Rc<Self>, id: u64, client: &Client) {
+    /// Closes a client's session and cancels its pending requests.
+    fn cancel_requests(self: &Rc<Self>, id: u64, client: &Client) {
         client.session.borrow_mut().close();
-        let places = client.session.borrow().replies().pending_places();
-        for place in places {
-            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence: place }));
+        let sequences = client.session.borrow().replies().pending_sequences();
+        for sequence in sequences {
+            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence }));
         }
-        client.room.notify(usize::MAX);
+        client.relay_ready.notify(usize::MAX);
     }
 
-    /// Has every client connection closed once all that was taken on it is answered. Where nothing new is taken any
-    /// more, nothing but the rest of the command that has begun is read.
-    pub fn retire_clients(&self, nothing_new: bool) {
+    /// Closes every client connection once its requests are answered. With `no_new_commands`, no further command is
+    /// accepted, but one received in part is still completed.
+    pub fn retire_clients(&self, no_new_commands: bool) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
-            if nothing_new {
+            if no_new_commands {
                 client.session.borrow_mut().finish();
             }
-            if nothing_new || client.settled(now) {
+            if no_new_commands || client.can_close_idle(now) {
                 client.retire();
             }
         }
     }
 
-    /// Refuses what was read and has not come to the proxy, such as what waits for room, and reads nothing more.
-    pub(super) fn refuse_rest(&self) {
+    /// Rejects commands that were read but not yet passed to the proxy, and closes all sessions.
+    pub(super) fn reject_unadmitted(&self) {
         let now = self.clock.now();
         for client in self.clients.borrow().values() {
             let refused = client.session.borrow_mut().refuse_rest();
@@ -247,13 +251,13 @@
         }
     }
 
-    /// Does something with the session of a client, if it is there, and writes what comes of it.
-    pub(super) fn with_session(&self, slot: ReplySlot, what: impl FnOnce(&mut ClientSession)) {
+    /// Applies `what` to a client's session, if the client is still connected, and writes the resulting output.
+    pub(super) fn with_session(&self, slot: ReplySlot, apply: impl FnOnce(&mut ClientSession)) {
         let client = self.clients.borrow().get(&slot.connection).map(Rc::clone);
         if let Some(client) = client {
             let now = self.clock.now();
-            client.used.set(now);
-            what(&mut client.session.borrow_mut());
+            client.last_active.set(now);
+            apply(&mut client.session.borrow_mut());
             client.flush(now);
         }
     }
@@ -263,8 +267,8 @@
     let ending = future::or(writer::write(&runtime, &client), reader::read(&runtime, id, &client)).await;
     log::debug!(client = id, ending = ending.name(); "client {id}: {}", ending.name());
     runtime.count_connection_end(ending);
-    runtime.part(id, &client);
-    // One that has left, or takes nothing, has nothing to read.
+    runtime.cancel_requests(id, &client);
+    // A client that has left or does not read cannot receive the end of its output.
     if !matches!(ending, ConnectionEnd::ClientLeft | ConnectionEnd::ClientStalled) {
         writer::linger(&runtime, &client).await;
     }
--- a/proxy/src/wire/driver/watch.rs
+++ b/proxy/src/wire/driver/watch.rs
@@ -1,57 +1,55 @@
-//! The watch on discovery.
+//! Watches discovery for endpoint updates.
 
 use super::Runtime;
 use crate::net;
 use crate::outcome::DiscoveryEnd;
-use crate::wire::discovery::{self, Ended};
+use crate::wire::discovery::{self, WatchEnded};
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-// A watch that falls silent is missed: whatever it does not tell counts as told 6 s after it fell silent. These times,
-// with the pauses of the module between calls, leave room within that for a second call where the first is silent too.
+// A silent watch must be replaced within 6 s, even if the first call after it is silent as well. The timeouts below
+// and the pauses between calls add up to less.
 
-/// A call has begun to be answered by then or never: discovery fails those that have waited for a second.
-const FIRST: Duration = Duration::from_millis(1500);
-/// A watch has a beat of 2 s; one that is silent for so long is dead. The connection to a discovery service
-/// that was cut off stays open and says nothing, and drains would go unheard.
-const SILENCE: Duration = Duration::from_millis(2750);
-/// A line is whole so long after the one before it. The watch of a discovery service that sends a byte now and
-/// then is not silent, and drains would go unheard all the same.
-const LINE: Duration = Duration::from_secs(5);
+/// Timeout for the first bytes of the response. Discovery itself fails calls after 1 s.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout between reads. Discovery sends a heartbeat every 2 s; a partitioned connection stays open without data.
+const READ_TIMEOUT: Duration = Duration::from_millis(2750);
+/// Timeout between complete lines, for a discovery service that sends single bytes but no lines.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Watches until the watch ends, and tells the proxy how it did.
+/// Runs one watch until it ends and reports the reason to the proxy.
 pub async fn run(runtime: Rc<Runtime>) {
-    let (ending, why) = watch(&runtime).await;
-    log::warn!(ending = ending.name(); "discovery: watch ended, {}: {why}", ending.name());
+    let (ending, reason) = run_watch(&runtime).await;
+    log::warn!(ending = ending.name(); "discovery: watch ended, {}: {reason}", ending.name());
     if let Some(task) = runtime.watch.borrow_mut().take() {
         task.detach();
     }
-    runtime.heard.set(true);
+    runtime.discovery_ready.set(true);
     runtime.drive(|proxy, now| proxy.discovery_failed(now, ending));
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = std::io::Result<T>>,
 ) -> Result<T, (DiscoveryEnd, String)> {
-    let late = async {
+    let timed_out = async {
         Timer::after(limit).await;
-        Err((DiscoveryEnd::Silent, format!("nothing for {} ms", limit.as_millis())))
+        Err((DiscoveryEnd::Silent, format!("no data for {} ms", limit.as_millis())))
     };
-    future::or(async { work.await.map_err(|e| (DiscoveryEnd::Broken, e.to_string())) }, late).await
+    future::or(async { work.await.map_err(|e| (DiscoveryEnd::Broken, e.to_string())) }, timed_out).await
 }
 
-async fn watch(runtime: &Rc<Runtime>) -> (DiscoveryEnd, String) {
-    match follow(runtime).await {
-        Ok(()) => (DiscoveryEnd::Broken, "closed".to_owned()),
+async fn run_watch(runtime: &Rc<Runtime>) -> (DiscoveryEnd, String) {
+    match receive_updates(runtime).await {
+        Ok(()) => (DiscoveryEnd::Broken, "connection closed".to_owned()),
         Err(end) => end,
     }
 }
 
-async fn follow(runtime: &Rc<Runtime>) -> Result<(), (DiscoveryEnd, String)> {
+async fn receive_updates(runtime: &Rc<Runtime>) -> Result<(), (DiscoveryEnd, String)> {
     let discovery = runtime.discovery.get();
     let rev = {
         let mut proxy = runtime.proxy.borrow_mut();
@@ -60,32 +58,36 @@
     };
     let mut decoder = discovery::Decoder::default();
     let mut buffer = vec![0; 16 * 1024];
-    let (mut lines, mut line_at) = (0, Instant::now());
-    let answered = async {
+    let (mut lines, mut last_line_at) = (0, Instant::now());
+    let response = async {
         let mut io = net::connect(discovery).await.map_err(std::io::Error::other)?;
         io.write_all(&discovery::encode(&discovery.to_string(), rev)).await?;
         let n = io.read(&mut buffer).await?;
         Ok((io, n))
     };
-    let (mut io, mut n) = within(FIRST, answered).await?;
+    let (mut io, mut n) = with_timeout(FIRST_RESPONSE_TIMEOUT, response).await?;
     loop {
         if n == 0 {
             return Ok(());
         }
         let updates = decoder.feed(buffer.get(..n).unwrap_or_default());
-        for update in updates.map_err(|Ended(why)| (DiscoveryEnd::Broken, why))? {
-            // A beat that changes nothing is no news.
+        for update in updates.map_err(|WatchEnded(reason)| (DiscoveryEnd::Broken, reason))? {
+            // Updates without endpoints are heartbeats.
             let level = if update.targets.is_empty() { log::Level::Debug } else { log::Level::Info };
             let (rev, lines) = (update.rev, update.targets.len());
             log::log!(level, version = rev, lines, all = update.all; "discovery: version {rev}, {lines} lines, all={}", update.all);
             runtime.drive(|proxy, now| proxy.update(now, update));
         }
-        // A beat will do: discovery is there and has nothing that the list held lacks.
-        if decoder.lines() > lines {
-            (lines, line_at) = (decoder.lines(), Instant::now());
-            runtime.heard.set(true);
+        // Any complete line, even a heartbeat, shows that the endpoint list is current.
+        if decoder.lines_received() > lines {
+            (lines, last_line_at) = (decoder.lines_received(), Instant::now());
+            runtime.discovery_ready.set(true);
             runtime.proxy.borrow_mut().endpoints.set_current();
         }
-        n = within(SILENCE.min(LINE.saturating_sub(line_at.elapsed())), io.read(&mut buffer)).await?;
+        n = with_timeout(
+            READ_TIMEOUT.min(LINE_TIMEOUT.saturating_sub(last_line_at.elapsed())),
+            io.read(&mut buffer),
+        )
+        .await?;
     }
 }
--- a/proxy/src/wire/origin.rs
+++ b/proxy/src/wire/origin.rs
@@ -1,20 +1,20 @@
-//! The origin's side: one HTTP request out, one answer back.
+//! Encodes HTTP requests to the origin and decodes its responses.
 
-use super::backend::{Piece, Reply};
+use super::backend::{Reply, ReplyPart};
 use super::command::BackendCommand;
 use super::http::{self, Part};
 use super::{MAX_STREAMED_VALUE, MAX_UNDELIMITED_BODY, MAX_VALUE};
 use crate::outcome::AttemptOutcome;
 use notchdoor::Micros;
 
-/// `GET /KEY`, or `PUT /KEY` with the value (unless that passes through and follows in pieces), with the id and the list
-/// of names and values, in which `d` is how long the proxy will wait.
-pub fn encode(call: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
-    let method = if call.writes().is_some() { "PUT" } else { "GET" };
-    let mut out = Vec::with_capacity(call.size() + 256);
+/// Encodes `GET /KEY`, or `PUT /KEY` with the value, with the request id and the list of names and values, in which
+/// `d` is `wait`. A streamed value is not included: the caller sends it afterwards.
+pub fn encode(command: &BackendCommand, wait: Micros, host: &str) -> Vec<u8> {
+    let method = if command.value_len().is_some() { "PUT" } else { "GET" };
+    let mut out = Vec::with_capacity(command.buffered_bytes() + 256);
     out.extend_from_slice(format!("{method} /").as_bytes());
-    for &byte in &call.key {
-        // The call's words are plain; what a path may not hold as it is goes out as its number.
+    for &byte in &command.key {
+        // Percent-encodes bytes that are not allowed in a path. The key contains no control characters.
         if !byte.is_ascii() || b"%?#\"<>\\^`{|}".contains(&byte) {
             out.extend_from_slice(format!("%{byte:02X}").as_bytes());
         } else {
@@ -22,80 +22,80 @@
         }
     }
     out.extend_from_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Call-Id: ").as_bytes());
-    out.extend_from_slice(&call.id);
+    out.extend_from_slice(&command.id);
     out.extend_from_slice(b"\r\nX-Call-Info: ");
-    out.extend_from_slice(&call.info_with_deadline(wait));
-    if let Some(length) = call.writes() {
+    out.extend_from_slice(&command.info_with_deadline(wait));
+    if let Some(length) = command.value_len() {
         out.extend_from_slice(format!("\r\nContent-Length: {length}\r\n\r\n").as_bytes());
-        out.extend_from_slice(call.value.as_deref().unwrap_or_default());
+        out.extend_from_slice(command.value.as_deref().unwrap_or_default());
     } else {
         out.extend_from_slice(b"\r\n\r\n");
     }
     out
 }
 
-/// Reads one answer.
+/// Decoder of one response.
 #[derive(Default)]
 pub struct Decoder {
     http: http::Decoder,
     status: u16,
     rejected: bool,
     body: Vec<u8>,
-    /// The body is passed on as it comes.
-    large: bool,
+    /// The body is streamed.
+    streaming: bool,
 }
 
 impl Decoder {
-    /// Whether a reply has begun to come.
-    pub fn begun(&self) -> bool {
-        self.status != 0 || self.http.begun()
+    /// Whether part of a response has been received.
+    pub fn has_partial_reply(&self) -> bool {
+        self.status != 0 || self.http.has_unread()
     }
 
-    /// Takes what has come in and gives what it completes.
-    pub fn feed(&mut self, bytes: &[u8]) -> Vec<Piece> {
+    /// Feeds received bytes and returns the parts of the reply that they complete.
+    pub fn feed(&mut self, bytes: &[u8]) -> Vec<ReplyPart> {
         match self.http.feed(bytes) {
             Ok(parts) => {
-                let mut pieces = Vec::new();
-                for piece in parts.into_iter().filter_map(|part| self.part(part)) {
-                    let over = matches!(piece, Piece::Over(_));
-                    pieces.push(piece);
-                    if over {
+                let mut reply_parts = Vec::new();
+                for reply_part in parts.into_iter().filter_map(|part| self.convert(part)) {
+                    let complete = matches!(reply_part, ReplyPart::Complete(_));
+                    reply_parts.push(reply_part);
+                    if complete {
                         break;
                     }
                 }
-                pieces
+                reply_parts
             }
-            Err(http::Malformed) => vec![Piece::Over(Reply::bare(AttemptOutcome::Garbled))],
+            Err(http::Malformed) => vec![ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled))],
         }
     }
 
-    /// The origin has closed the connection.
+    /// Reports that the origin closed the connection. Returns the reply if that completes it.
     pub fn closed(&mut self) -> Option<Reply> {
         let part = self.http.closed()?;
-        match self.part(part) {
-            Some(Piece::Over(reply)) => Some(reply),
+        match self.convert(part) {
+            Some(ReplyPart::Complete(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    fn part(&mut self, part: Part) -> Option<Piece> {
-        let garbled = || Some(Piece::Over(Reply::bare(AttemptOutcome::Garbled)));
+    fn convert(&mut self, part: Part) -> Option<ReplyPart> {
+        let garbled = || Some(ReplyPart::Complete(Reply::without_value(AttemptOutcome::Garbled)));
         match part {
             Part::Head { status, rejected, length } => {
                 (self.status, self.rejected) = (status, rejected);
                 match length {
-                    // What claims to be larger than any value is not waited for.
+                    // A length above the maximum is rejected before the body arrives.
                     Some(length) if length > MAX_STREAMED_VALUE as u64 => garbled(),
                     Some(length) if length > MAX_VALUE as u64 && status == 200 => {
-                        self.large = true;
-                        Some(Piece::Begun(length as usize))
+                        self.streaming = true;
+                        Some(ReplyPart::ValueStart(length as usize))
                     }
                     _ => None,
                 }
             }
-            Part::Data(data) if self.large => Some(Piece::Data(data)),
+            Part::Data(data) if self.streaming => Some(ReplyPart::ValueData(data)),
             Part::Data(data) => {
-                // What an error has to say is read by nobody.
+                // Bodies of error responses are discarded.
                 if self.status == 200 {
                     self.body.extend_from_slice(&data);
                 }
@@ -106,16 +106,16 @@
                 }
             }
             Part::End { reusable } => {
-                let ending = match self.status {
+                let outcome = match self.status {
                     200 => AttemptOutcome::Served,
                     404 => AttemptOutcome::Absent,
-                    // Without the header it may have run, and a write would be repeated.
+                    // Without the header, the request may have been executed and must not be retried as rejected.
                     503 | 504 if self.rejected => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::Errored,
                 };
-                let whole = ending == AttemptOutcome::Served && !self.large;
-                let value = whole.then(|| std::mem::take(&mut self.body));
-                Some(Piece::Over(Reply { value, reusable, ..Reply::bare(ending) }))
+                let buffered = outcome == AttemptOutcome::Served && !self.streaming;
+                let value = buffered.then(|| std::mem::take(&mut self.body));
+                Some(ReplyPart::Complete(Reply { value, reusable, ..Reply::without_value(outcome) }))
             }
         }
     }
--- a/proxy/src/wire/streamed_value.rs
+++ b/proxy/src/wire/streamed_value.rs
@@ -1,35 +1,35 @@
-//! A large value on its way from a client to the origin: the few bytes of it that are here, and how far it has come.
+//! Bounded buffer for a large value that is streamed from a client to a server.
 
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
 
-/// Bytes that may wait to be passed on before no more is read from the client.
-const MAX_BUFFERED: usize = 64 * 1024;
+/// Maximum number of buffered bytes; no more is read from the client at this limit.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// What the one who passes it on is to do next.
+/// Result of [`StreamedValue::next`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextChunk {
-    /// Pass on these bytes.
+    /// Bytes to send.
     Bytes(Vec<u8>),
-    /// Wait for more.
+    /// No bytes are buffered; more will arrive.
     Wait,
-    /// All of it has been passed on.
+    /// The whole value has been returned.
     End,
-    /// The rest will never come.
+    /// The value was aborted or skipped.
     Aborted,
 }
 
-/// One large value.
+/// A value that is received and sent in parts.
 #[derive(Debug)]
 pub struct StreamedValue {
-    /// How long it is.
+    /// Length of the value in bytes.
     pub length: usize,
-    waiting: RefCell<Vec<u8>>,
-    /// Bytes that were passed on: these cannot be sent again.
-    begun: Cell<bool>,
-    whole: Cell<bool>,
-    gone: Cell<bool>,
-    /// Nobody wants the rest.
+    buffered: RefCell<Vec<u8>>,
+    /// Bytes were returned by `next` and cannot be sent again.
+    started: Cell<bool>,
+    complete: Cell<bool>,
+    aborted: Cell<bool>,
+    /// The rest of the value is discarded.
     skipped: Cell<bool>,
     changed: Event,
 }
@@ -41,89 +41,89 @@
 }
 
 impl StreamedValue {
-    /// One of so many bytes, none of which has come.
+    /// Creates a value of `length` bytes, none received yet.
     pub fn new(length: usize) -> Self {
         StreamedValue {
             length,
-            waiting: RefCell::default(),
-            begun: Cell::new(false),
-            whole: Cell::new(false),
-            gone: Cell::new(false),
+            buffered: RefCell::default(),
+            started: Cell::new(false),
+            complete: Cell::new(false),
+            aborted: Cell::new(false),
             skipped: Cell::new(false),
             changed: Event::new(),
         }
     }
 
-    fn change(&self) {
+    fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// How many more bytes may come now.
-    pub fn room(&self) -> usize {
+    /// Number of bytes that can be pushed now; unlimited once skipped.
+    pub fn available(&self) -> usize {
         match self.skipped.get() {
             true => usize::MAX,
-            false => MAX_BUFFERED.saturating_sub(self.waiting.borrow().len()),
+            false => MAX_BUFFERED_BYTES.saturating_sub(self.buffered.borrow().len()),
         }
     }
 
-    /// Some of it has come.
+    /// Appends received bytes. They are discarded once skipped.
     pub fn push(&self, bytes: &[u8]) {
         if !self.skipped.get() {
-            self.waiting.borrow_mut().extend_from_slice(bytes);
-            self.change();
+            self.buffered.borrow_mut().extend_from_slice(bytes);
+            self.notify();
         }
     }
 
-    /// All of it has come.
+    /// Marks the value as completely received.
     pub fn finish(&self) {
-        self.whole.set(true);
-        self.change();
+        self.complete.set(true);
+        self.notify();
     }
 
-    /// The rest of it will never come.
+    /// Marks the value as never to be completed, and discards buffered bytes.
     pub fn abort(&self) {
-        self.gone.set(true);
+        self.aborted.set(true);
         self.skip();
     }
 
-    /// Nobody wants the rest of it: what comes is not kept.
+    /// Discards buffered bytes and those that follow.
     pub fn skip(&self) {
         self.skipped.set(true);
-        self.waiting.take();
-        self.change();
+        self.buffered.take();
+        self.notify();
     }
 
-    /// Whether it can still be passed on from its first byte.
-    pub fn untouched(&self) -> bool {
-        !self.begun.get() && !self.skipped.get()
+    /// Whether the value can still be sent from its first byte.
+    pub fn is_unsent(&self) -> bool {
+        !self.started.get() && !self.skipped.get()
     }
 
-    /// What is to be passed on next.
+    /// Removes and returns the buffered bytes, or the state of the value if there are none.
     pub fn next(&self) -> NextChunk {
-        let bytes = self.waiting.take();
+        let bytes = self.buffered.take();
         if !bytes.is_empty() {
-            self.begun.set(true);
-            self.change();
+            self.started.set(true);
+            self.notify();
             return NextChunk::Bytes(bytes);
         }
-        if self.gone.get() || self.skipped.get() {
+        if self.aborted.get() || self.skipped.get() {
             return NextChunk::Aborted;
         }
-        if self.whole.get() {
+        if self.complete.get() {
             NextChunk::End
         } else {
             NextChunk::Wait
         }
     }
 
-    /// Waits until something about it changes.
-    pub async fn change_of(&self) {
+    /// Waits for the next state change.
+    pub async fn changed(&self) {
         self.changed.listen().await;
     }
 
-    /// Waits until all of it has come.
-    pub async fn until_whole(&self) {
-        while !self.whole.get() {
+    /// Waits until the value is completely received.
+    pub async fn wait_complete(&self) {
+        while !self.complete.get() {
             self.changed.listen().await;
         }
     }
