--- a/cli/src/coord.rs
+++ b/cli/src/coord.rs
@@ -9,7 +9,7 @@
 use notchdoor_coordination::session::Endpoint;
 use notchdoor_coordination::versioned_config::BlockRules;
 use notchdoor_proxy::group::{ask, node};
-use notchdoor_proxy::lifecycle::config::tasks;
+use notchdoor_proxy::lifecycle::config::load_tasks;
 use notchdoor_proxy::lifecycle::log::Format;
 use notchdoor_settings::bounded_file;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
     /// What versions may forbid, where a file says so.
     pub fn guard(&self) -> Result<Option<BlockRules>, String> {
         match self.file() {
-            Some(file) if self.at.is_empty() => Ok(tasks(&file).map_err(|e| e.to_string())?.guard),
+            Some(file) if self.at.is_empty() => Ok(load_tasks(&file).map_err(|e| e.to_string())?.guard),
             _ => Ok(None),
         }
     }
@@ -129,7 +129,7 @@
             return Ok(self.at.iter().zip(0..).map(|(&at, n)| (u64::MAX - n, at)).collect());
         }
         let file = self.file().ok_or("which group: --at ADDRESS, --coord FILE or NOTCHDOOR_COORD")?;
-        Ok(tasks(&file).map_err(|e| e.to_string())?.members)
+        Ok(load_tasks(&file).map_err(|e| e.to_string())?.members)
     }
 
     pub fn limit(&self) -> Result<Duration, String> {
--- a/proxy/src/lifecycle/clock.rs
+++ b/proxy/src/lifecycle/clock.rs
@@ -10,7 +10,7 @@
 
 /// What the monotonic clock shows at the start: longer than any span that settings can name (some thirty years), so
 /// that a moment so long before the start is still one, and so far from Unix time that mixing the two shows at once.
-const ORIGIN: Micros = 1 << 50;
+const START_READING: Micros = 1 << 50;
 
 /// A clock that never goes back.
 #[derive(Clone, Copy, Debug)]
@@ -25,22 +25,22 @@
         // The one place that reads the wall clock for anything but the log's own times.
         #[allow(clippy::disallowed_methods)]
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock::start_beside(UnixMicros(unix.as_micros() as u64))
+        Clock::start_at(UnixMicros(unix.as_micros() as u64))
     }
 
     /// Starts the clock while the wall clock shows this.
-    pub fn start_beside(wall: UnixMicros) -> Self {
+    pub fn start_at(wall: UnixMicros) -> Self {
         Clock { wall_at_start: wall, start: Instant::now() }
     }
 
     /// Both clocks as they were at the start.
     pub fn reading(&self) -> ClockReading {
-        ClockReading { monotonic: ORIGIN, wall: self.wall_at_start }
+        ClockReading { monotonic: START_READING, wall: self.wall_at_start }
     }
 
     /// The time now.
     pub fn now(&self) -> Micros {
-        ORIGIN + self.start.elapsed().as_micros() as Micros
+        START_READING + self.start.elapsed().as_micros() as Micros
     }
 
     /// Unix time now, as the wall clock of the start would show it.
@@ -50,7 +50,7 @@
 
     /// A time of this clock as the system's timers have it. What is too far off counts as an hour from now.
     pub fn instant(&self, at: Micros) -> Instant {
-        let since = Duration::from_micros(at.saturating_sub(ORIGIN));
-        self.start.checked_add(since).unwrap_or_else(|| Instant::now() + Duration::from_secs(3600))
+        let elapsed = Duration::from_micros(at.saturating_sub(START_READING));
+        self.start.checked_add(elapsed).unwrap_or_else(|| Instant::now() + Duration::from_secs(3600))
     }
 }
--- a/proxy/src/lifecycle/config/tests.rs
+++ b/proxy/src/lifecycle/config/tests.rs
@@ -9,20 +9,23 @@
     "obligations":{"cold":8100.0,"coldFrom":0.3,"fallMultiple":4.0,"tipAfter":2000.0}}}"#;
 
 #[test]
-fn the_file_is_read_and_variables_go_before_it() {
+fn environment_variables_override_the_file() {
     let config = Config::parse(TEXT.as_bytes(), |_| None).ok().unwrap();
     assert_eq!((config.name.as_str(), config.listen.port(), config.seed >> 56), ("n3", 6379, 0x8c));
     for processes in [1, 2] {
-        let room = config.limits.room(processes);
-        assert!(processes * (room.clients + room.upstream + OTHER_SOCKETS) <= MOST_SOCKETS);
-        assert!(processes * room.taken * MAX_VALUE * 3 <= 192 << 20);
+        let limits = config.limits.per_process(processes);
+        assert!(
+            processes * (limits.client_connections + limits.upstream_connections + RESERVED_SOCKETS)
+                <= MAX_SOCKETS
+        );
+        assert!(processes * limits.requests * MAX_VALUE * 3 <= 192 << 20);
     }
     let listen = |name: &str| (name == "EDGE_LISTEN").then(|| "127.0.0.9:1".to_owned());
     assert_eq!(Config::parse(TEXT.as_bytes(), listen).ok().unwrap().listen.port(), 1);
 }
 
 #[test]
-fn what_is_wrong_is_named_in_one_line() {
+fn each_error_names_the_field_or_variable_in_one_line() {
     let cases = [
         ("\"seed\":\"8c1f30d27a5be964\",", "", "missing field `seed`"),
         ("8c1f30d27a5be964", "xyz", "seed: not a hex number"),
@@ -36,9 +39,9 @@
         ("\"maxAttempts\":3,", "", "missing field `maxAttempts`"),
         ("{\"name\"", "[", "EDGE_CONFIG: "),
     ];
-    for (from, to, told) in cases {
+    for (from, to, expected) in cases {
         let error = Config::parse(TEXT.replacen(from, to, 1).as_bytes(), |_| None).err().unwrap().to_string();
-        assert!(error.contains(told) && !error.contains('\n'), "{told}: {error}");
+        assert!(error.contains(expected) && !error.contains('\n'), "{expected}: {error}");
     }
     let text = TEXT.replacen("\"seed\"", "\"admin_addr\":\"127.0.0.1:9\",\"seed\"", 1);
     let admin = |variable: Option<&str>| {
@@ -53,21 +56,25 @@
 }
 
 #[test]
-fn a_later_text_moves_the_registry_and_names_what_wants_a_restart() {
-    let source = Source { path: String::new(), policy: None, fields: fields(TEXT.as_bytes()).unwrap() };
-    let compare = |pairs: &[(&str, &str)]| {
+fn reload_applies_discovery_and_lists_fields_that_require_a_restart() {
+    let source = Source { path: String::new(), policy: None, fields: parse_fields(TEXT.as_bytes()).unwrap() };
+    let compare_edited = |pairs: &[(&str, &str)]| {
         let text = pairs.iter().fold(TEXT.to_owned(), |text, (a, b)| text.replacen(a, b, 1));
         source.compare(text.as_bytes())
     };
-    let moved = ("127.0.0.2:8500", "127.0.0.3:8500");
-    let reload = compare(&[moved]).unwrap();
-    assert_eq!((reload.discovery.to_string(), reload.wants_restart.len()), ("127.0.0.3:8500".into(), 0));
-    let changed =
-        compare(&[moved, ("\"memory_mb\":192", "\"memory_mb\":48"), ("0.3,", "0.4,"), ("\"n3\"", "\"n4\"")]);
-    assert_eq!(changed.unwrap().wants_restart, ["name", "limits.memory_mb", "settings.obligations"]);
+    let new_discovery = ("127.0.0.2:8500", "127.0.0.3:8500");
+    let reload = compare_edited(&[new_discovery]).unwrap();
+    assert_eq!((reload.discovery.to_string(), reload.restart_required.len()), ("127.0.0.3:8500".into(), 0));
+    let changed = compare_edited(&[
+        new_discovery,
+        ("\"memory_mb\":192", "\"memory_mb\":48"),
+        ("0.3,", "0.4,"),
+        ("\"n3\"", "\"n4\""),
+    ]);
+    assert_eq!(changed.unwrap().restart_required, ["name", "limits.memory_mb", "settings.obligations"]);
     // A half-written file must not take discovery away.
-    for (from, to, told) in [("127.0.0.2:8500", "x", "discovery: not an address"), ("}}}", "}}", "EOF")] {
-        let error = compare(&[(from, to)]).unwrap_err().to_string();
-        assert!(error.contains(told) && !error.contains('\n'), "{error}");
+    for (from, to, expected) in [("127.0.0.2:8500", "x", "discovery: not an address"), ("}}}", "}}", "EOF")] {
+        let error = compare_edited(&[(from, to)]).unwrap_err().to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
 }
--- a/proxy/src/lifecycle/log.rs
+++ b/proxy/src/lifecycle/log.rs
@@ -38,9 +38,9 @@
     }
 }
 
-struct Fields<'a>(&'a mut Map<String, Json>);
+struct FieldCollector<'a>(&'a mut Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldCollector<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let json = match (value.to_u64(), value.to_bool()) {
             (Some(n), _) => Json::from(n),
@@ -53,10 +53,10 @@
 }
 
 /// A record as one JSON object. The names that every record has go before a key-value's of the same name.
-fn json(record: &Record<'_>, name: &str, seconds: f64) -> Json {
+fn to_json(record: &Record<'_>, name: &str, seconds: f64) -> Json {
     let mut fields = Map::new();
     // Visiting only fails where the visitor does, and this one does not.
-    let _ = record.key_values().visit(&mut Fields(&mut fields));
+    let _ = record.key_values().visit(&mut FieldCollector(&mut fields));
     fields.insert("ts".to_owned(), Json::from(seconds));
     fields.insert("level".to_owned(), Json::from(record.level().as_str()));
     fields.insert("name".to_owned(), Json::from(name));
@@ -67,13 +67,13 @@
 /// Starts the log for the proxy of this name. `level` is what `--log-level` or `NOTCHDOOR_LOG` says; where it
 /// is no level, `info` is taken and the log says so.
 pub fn start(name: &str, format: Format, level: Option<&str>) {
-    let wanted = level.map(|l| (l, l.parse::<LevelFilter>()));
-    let filter = match wanted {
+    let parsed = level.map(|l| (l, l.parse::<LevelFilter>()));
+    let filter = match parsed {
         Some((_, Ok(level))) => level,
         _ => LevelFilter::Info,
     };
     let name = name.to_owned();
-    let write = move |out: &mut env_logger::fmt::Formatter, record: &Record<'_>| {
+    let write_record = move |out: &mut env_logger::fmt::Formatter, record: &Record<'_>| {
         // The time that a reader of the log sees, and nothing else.
         #[allow(clippy::disallowed_methods)]
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -84,7 +84,7 @@
             }
             Format::Json => {
                 let seconds = now.as_millis() as f64 / 1e3;
-                writeln!(out, "{}", json(record, &name, seconds))
+                writeln!(out, "{}", to_json(record, &name, seconds))
             }
         }
     };
@@ -93,9 +93,9 @@
         .filter_module("notchdoor", filter)
         .target(Target::Stderr)
         .write_style(WriteStyle::Never)
-        .format(write)
+        .format(write_record)
         .try_init();
-    if let Some((text, Err(_))) = wanted {
+    if let Some((text, Err(_))) = parsed {
         log::warn!("log: '{text}' is no level: error, warn, info, debug and off are; info is taken");
     }
 }
--- a/proxy/src/lifecycle/log/tests.rs
+++ b/proxy/src/lifecycle/log/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 #[test]
-fn a_record_as_json_has_its_text_its_figures_and_what_every_record_has() {
+fn json_record_contains_common_fields_message_and_key_values() {
     let pairs = [("version", Value::from(41u64)), ("all", Value::from(true)), ("name", Value::from("x"))];
-    let json = json(
+    let json = to_json(
         &Record::builder()
             .args(format_args!("discovery: version 41, \"quoted\"\nand broken"))
             .level(log::Level::Info)
--- a/proxy/src/lifecycle/serve.rs
+++ b/proxy/src/lifecycle/serve.rs
@@ -52,7 +52,7 @@
     // Before anything else: a signal that nothing waits for ends the process.
     let signals = Signals::new().map_err(ServeError::Signals)?;
     let (config, source) = Config::load(policy)?;
-    let fleet = coord.as_deref().map(config::tasks).transpose()?;
+    let fleet = coord.as_deref().map(config::load_tasks).transpose()?;
     log::start(&config.name, format, level);
     let listen_error = |variable, address| move |source| ServeError::Listen { variable, address, source };
     let clients = hot_restart::bind(config.listen).map_err(listen_error("EDGE_LISTEN", config.listen))?;
@@ -60,16 +60,17 @@
         .admin
         .map(|address| admin::bind(address).map_err(listen_error("EDGE_ADMIN_ADDR", address)))
         .transpose()?;
-    let folder = std::env::temp_dir();
+    let state_dir = std::env::temp_dir();
     let deployment = config.settings.names().fingerprint();
-    let hot_restart = match HotRestart::join(&folder, &config.name, &config.listen.to_string(), deployment) {
+    let hot_restart = match HotRestart::join(&state_dir, &config.name, &config.listen.to_string(), deployment)
+    {
         Ok((hot_restart, None)) => Some(hot_restart),
-        Ok((hot_restart, Some(why))) => {
-            ::log::error!("hot restart: the state is of no use, no backend is out by hand: {why}");
+        Ok((hot_restart, Some(error))) => {
+            ::log::error!("hot restart: the state is of no use, no backend is out by hand: {error}");
             Some(hot_restart)
         }
-        Err(why) => {
-            ::log::error!("hot restart: none, an upgrade will not know of this process: {why}");
+        Err(error) => {
+            ::log::error!("hot restart: none, an upgrade will not know of this process: {error}");
             None
         }
     };
@@ -85,10 +86,10 @@
     let executors = Executors::default();
     let missing = match fleet.as_ref().and_then(|f| f.copies.clone().map(|c| (c, f))) {
         Some((copies, file)) => {
-            let (doors, run) = (file.members.clone(), &executors.clients);
-            let copies = ReplicationRuntime::start(copies, doors, file.drift, &config.name, run)
+            let (members, executor) = (file.members.clone(), &executors.clients);
+            let copies = ReplicationRuntime::start(copies, members, file.drift, &config.name, executor)
                 .map_err(|problem| ServeError::Replication(problem.to_string()))?;
-            Some(NegativeCache::new(copies, run))
+            Some(NegativeCache::new(copies, executor))
         }
         None => None,
     };
--- a/proxy/src/lifecycle/signals.rs
+++ b/proxy/src/lifecycle/signals.rs
@@ -27,7 +27,7 @@
 }
 
 /// How often the flags are looked at where the pipe cannot be read.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const PIPE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The signals as they come. Each sets its flag and writes a byte to a pipe that the executor reads: a pipe,
 /// not a pair of Unix sockets, for platforms that take TCP and UDP alone. Two of one kind before the first is
@@ -70,36 +70,36 @@
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             failed => {
                 log::debug!("signals: the pipe cannot be read: {failed:?}");
-                Timer::after(LOOK_AGAIN).await;
+                Timer::after(PIPE_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// New connections keep coming for up to 0.4 s after SIGTERM, and then the listener is closed.
-const STILL_ACCEPTING: Duration = Duration::from_millis(450);
+const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(450);
 /// Connections that are still owed an answer then are not read any further: the longest of the requests that were
 /// taken before has its time until the stop is over.
-const STILL_TAKING: Duration = Duration::from_millis(550);
+const READ_AFTER_SIGNAL: Duration = Duration::from_millis(550);
 /// SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM.
-const BEFORE_KILL: Duration = Duration::from_millis(600);
+const STOP_TIME_AFTER_DEADLINE: Duration = Duration::from_millis(600);
 /// What is still open so long before the stop has to be over is answered as it is, and the answers go out.
-const LAST_ANSWERS: Duration = Duration::from_millis(30);
+const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(30);
 
 /// The longest deadline that SIGKILL waits for, and what is taken where the settings name none.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
 
 /// How long a stop may take before it has to exit with what is still open.
-fn answering(longest_deadline: Micros) -> Duration {
+fn stop_timeout(longest_deadline: Micros) -> Duration {
     let longest = match longest_deadline {
-        0 => LONGEST,
-        deadline => Duration::from_micros(deadline).min(LONGEST),
+        0 => MAX_STOP_DEADLINE,
+        deadline => Duration::from_micros(deadline).min(MAX_STOP_DEADLINE),
     };
-    longest + BEFORE_KILL
+    longest + STOP_TIME_AFTER_DEADLINE
 }
 
 /// Does what each signal asks for, and returns at the first that asks for a stop.
-async fn heed(runtime: &Rc<Runtime>, source: &Source, signals: &mut Signals) {
+async fn handle_signals(runtime: &Rc<Runtime>, source: &Source, signals: &mut Signals) {
     loop {
         match signals.next().await {
             Signal::Usr1 => runtime.report("counters"),
@@ -113,10 +113,10 @@
 /// wrong changes nothing.
 fn reload(runtime: &Rc<Runtime>, source: &Source) {
     match source.reread() {
-        Ok(Reload { discovery, wants_restart, policy }) => {
+        Ok(Reload { discovery, restart_required, policy }) => {
             log::info!(discovery:%; "configuration read again, discovery at {discovery}");
-            if !wants_restart.is_empty() {
-                log::warn!("configuration: a restart is needed for {}", wants_restart.join(", "));
+            if !restart_required.is_empty() {
+                log::warn!("configuration: a restart is needed for {}", restart_required.join(", "));
             }
             let routes = policy.as_ref().map(|p| p.routes.len());
             if !runtime.reload(policy) {
@@ -136,35 +136,35 @@
 
 /// Waits for a signal to stop, and then until all that was taken is answered.
 pub async fn until_stopped(runtime: &Rc<Runtime>, source: &Source, mut signals: Signals) {
-    heed(runtime, source, &mut signals).await;
+    handle_signals(runtime, source, &mut signals).await;
     // discovery may move during a stop too, and a second signal to stop changes nothing.
-    let heed_on = async {
+    let keep_handling_signals = async {
         loop {
-            heed(runtime, source, &mut signals).await;
+            handle_signals(runtime, source, &mut signals).await;
         }
     };
-    future::or(stop(runtime), heed_on).await;
+    future::or(stop(runtime), keep_handling_signals).await;
 }
 
 async fn stop(runtime: &Rc<Runtime>) {
-    let begun = Instant::now();
-    let limit = begun + answering(runtime.network.max_deadline);
+    let started = Instant::now();
+    let limit = started + stop_timeout(runtime.network.max_deadline);
     runtime.begin_stop();
     // With a successor on the same address, new connections go there once the listener is closed.
     if !runtime.has_successor() {
-        Timer::after(STILL_ACCEPTING).await;
+        Timer::after(ACCEPT_AFTER_SIGNAL).await;
     }
     runtime.stop_accepting().await;
     while runtime.clients_open() > 0 && Instant::now() < limit {
-        runtime.retire_clients(begun.elapsed() >= STILL_TAKING);
-        if Instant::now() + LAST_ANSWERS >= limit {
+        runtime.retire_clients(started.elapsed() >= READ_AFTER_SIGNAL);
+        if Instant::now() + FINAL_ANSWERS_TIME >= limit {
             runtime.answer_all();
         }
         Timer::after(Duration::from_millis(5)).await;
     }
-    let (clients, owed) = (runtime.clients_open(), runtime.owed());
-    if owed > 0 {
-        log::error!(owed, clients; "stopped with {owed} requests unanswered on {clients} connections");
+    let (clients, unanswered) = (runtime.clients_open(), runtime.owed());
+    if unanswered > 0 {
+        log::error!(owed = unanswered, clients; "stopped with {unanswered} requests unanswered on {clients} connections");
     } else {
         log::info!("stopped with every request answered");
     }
--- a/proxy/src/lifecycle/signals/tests.rs
+++ b/proxy/src/lifecycle/signals/tests.rs
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 
 #[test]
-fn a_signal_comes_through_the_pipe_and_a_stop_goes_first() {
+fn stop_signal_is_returned_before_other_pending_signals() {
     let mut signals = Signals::new().unwrap();
     signal_hook::low_level::raise(SIGUSR1).unwrap();
     assert_eq!(async_io::block_on(signals.next()), Signal::Usr1);
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn a_stop_ends_before_it_is_killed() {
+fn stop_timeout_is_shorter_than_the_time_before_sigkill() {
     // A class may have a long deadline: SIGKILL comes 3.7 s after SIGTERM all the same.
     for (deadline, millis) in [(2_000_000, 2_600), (60_000_000, 3_600), (0, 3_600)] {
-        assert_eq!(answering(deadline), Duration::from_millis(millis));
+        assert_eq!(stop_timeout(deadline), Duration::from_millis(millis));
     }
 }
 
@@ -40,19 +40,19 @@
 }
 
 #[test]
-fn a_pipe_that_fails_in_any_way_loses_no_signal() {
+fn signal_is_returned_after_pipe_read_failures() {
     let interrupted: fn() -> io::Result<usize> = || Err(io::ErrorKind::Interrupted.into());
     let failed: fn() -> io::Result<usize> = || Err(io::Error::from_raw_os_error(5));
     for failure in [interrupted, failed, || Ok(0)] {
         let flag = Arc::new(AtomicBool::new(false));
         let flags = [(Signal::Term, Arc::clone(&flag))];
         let mut pipe = FailingPipe { failures: (0..3).map(|_| failure()).collect(), flag };
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_secs(5)).await;
             None
         };
         let next = async { Some(next_signal(&flags, &mut pipe).await) };
-        assert_eq!(async_io::block_on(future::or(next, late)), Some(Signal::Term));
+        assert_eq!(async_io::block_on(future::or(next, timeout)), Some(Signal::Term));
         assert!(pipe.failures.is_empty());
     }
 }
--- a/proxy/src/net/calls.rs
+++ b/proxy/src/net/calls.rs
@@ -7,35 +7,35 @@
 
 /// Opens a socket that does not block.
 pub(super) fn socket(address: SocketAddr) -> io::Result<Socket> {
-    check(SocketCall::Socket)?;
+    injected_failure(SocketCall::Socket)?;
     Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))
 }
 
 /// Begins to connect. `EINPROGRESS` is the usual end of it.
 pub(super) fn connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
-    check(SocketCall::Connect)?;
+    injected_failure(SocketCall::Connect)?;
     socket.connect(&address.into())
 }
 
 /// Takes a connection out of the queue.
 pub(super) fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
-    check(SocketCall::Accept)?;
+    injected_failure(SocketCall::Accept)?;
     listener.accept().map(|(stream, _)| stream)
 }
 
 /// Has small writes sent at once.
 pub(super) fn set_nodelay(stream: &TcpStream) -> io::Result<()> {
-    check(SocketCall::SetNoDelay)?;
+    injected_failure(SocketCall::SetNoDelay)?;
     stream.set_nodelay(true)
 }
 
 #[cfg(not(test))]
-fn check(_: SocketCall) -> io::Result<()> {
+fn injected_failure(_: SocketCall) -> io::Result<()> {
     Ok(())
 }
 
 #[cfg(test)]
-fn check(call: SocketCall) -> io::Result<()> {
+fn injected_failure(call: SocketCall) -> io::Result<()> {
     injection::next(call).map_or(Ok(()), |error| Err(error.into()))
 }
 
--- a/proxy/src/net/connect.rs
+++ b/proxy/src/net/connect.rs
@@ -32,21 +32,22 @@
 
 /// Connects to an address. It waits for as long as the system does: the caller bounds that.
 pub async fn connect(address: SocketAddr) -> Result<Async<TcpStream>, ConnectError> {
-    let failed = |call| move |source| ConnectError { call, source };
-    let socket = calls::socket(address).map_err(failed(SocketCall::Socket))?;
-    begin(&socket, address).map_err(failed(SocketCall::Connect))?;
-    let stream = Async::new_nonblocking(TcpStream::from(socket)).map_err(failed(SocketCall::Register))?;
-    stream.writable().await.map_err(failed(SocketCall::Register))?;
+    let connect_error = |call| move |source| ConnectError { call, source };
+    let socket = calls::socket(address).map_err(connect_error(SocketCall::Socket))?;
+    start_connect(&socket, address).map_err(connect_error(SocketCall::Connect))?;
+    let stream =
+        Async::new_nonblocking(TcpStream::from(socket)).map_err(connect_error(SocketCall::Register))?;
+    stream.writable().await.map_err(connect_error(SocketCall::Register))?;
     match stream.get_ref().take_error() {
         Ok(None) => {}
-        Ok(Some(e)) | Err(e) => return Err(failed(SocketCall::Connect)(e)),
+        Ok(Some(e)) | Err(e) => return Err(connect_error(SocketCall::Connect)(e)),
     }
-    send_at_once(&stream);
+    disable_write_delay(&stream);
     Ok(stream)
 }
 
 /// Begins the handshake.
-fn begin(socket: &Socket, address: SocketAddr) -> io::Result<()> {
+fn start_connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     loop {
         let Err(error) = calls::connect(socket, address) else { return Ok(()) };
         match Errno::from_io_error(&error) {
@@ -61,7 +62,7 @@
 
 /// Has small writes sent at once. A connection where that fails is used all the same: its writes may come some
 /// milliseconds later, and the bytes are the same.
-pub(super) fn send_at_once(stream: &Async<TcpStream>) {
+pub(super) fn disable_write_delay(stream: &Async<TcpStream>) {
     if let Err(error) = calls::set_nodelay(stream.get_ref()) {
         log::debug!("socket: small writes may be delayed: {error}");
     }
--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -1,7 +1,7 @@
 //! Accepts connections: one policy for every listener.
 
 use super::calls;
-use super::connect::send_at_once;
+use super::connect::disable_write_delay;
 use super::fault::{after_accept_error, AfterAcceptError};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Pause after an error that leaves the connection in the queue: what is short comes back when a connection ends.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// After so many errors in a row a pause follows whatever they are, so that no error can make the loop spin.
-const MAX_ERRORS_AT_ONCE: u32 = 64;
+const MAX_CONSECUTIVE_ERRORS: u32 = 64;
 
 /// What is at the head of a listener's queue.
 #[derive(Debug)]
-pub enum Queued {
+pub enum TryAccept {
     /// A connection.
     Connection(Async<TcpStream>),
     /// Nothing.
@@ -45,50 +45,50 @@
 
     /// The next connection. Errors are told to `failed` and never end the loop: connections that went while they were
     /// queued are passed over, and a shortage is waited out.
-    pub async fn accept(&self, mut failed: impl FnMut(&io::Error)) -> Async<TcpStream> {
-        let mut errors_at_once = 0;
+    pub async fn accept(&self, mut on_error: impl FnMut(&io::Error)) -> Async<TcpStream> {
+        let mut consecutive_errors = 0;
         loop {
-            match self.queued() {
-                Queued::Connection(stream) => return stream,
-                Queued::Empty => {
+            match self.try_accept() {
+                TryAccept::Connection(stream) => return stream,
+                TryAccept::Empty => {
                     // An error of the event queue itself passes like a shortage.
                     if let Err(error) = self.io.readable().await {
-                        failed(&error);
-                        Timer::after(SHORTAGE_PAUSE).await;
+                        on_error(&error);
+                        Timer::after(SHORTAGE_RETRY_DELAY).await;
                     }
                 }
-                Queued::Lost(error) => {
-                    failed(&error);
-                    errors_at_once += 1;
-                    if errors_at_once < MAX_ERRORS_AT_ONCE {
+                TryAccept::Lost(error) => {
+                    on_error(&error);
+                    consecutive_errors += 1;
+                    if consecutive_errors < MAX_CONSECUTIVE_ERRORS {
                         future::yield_now().await;
                     } else {
-                        errors_at_once = 0;
-                        Timer::after(SHORTAGE_PAUSE).await;
+                        consecutive_errors = 0;
+                        Timer::after(SHORTAGE_RETRY_DELAY).await;
                     }
                 }
-                Queued::Shortage(error) => {
-                    failed(&error);
-                    Timer::after(SHORTAGE_PAUSE).await;
+                TryAccept::Shortage(error) => {
+                    on_error(&error);
+                    Timer::after(SHORTAGE_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Takes what is at the head of the queue, without a wait.
-    pub fn queued(&self) -> Queued {
+    pub fn try_accept(&self) -> TryAccept {
         let accepted = calls::accept(self.io.get_ref());
         let error = match accepted.and_then(Async::new) {
             Ok(stream) => {
-                send_at_once(&stream);
-                return Queued::Connection(stream);
+                disable_write_delay(&stream);
+                return TryAccept::Connection(stream);
             }
             Err(error) => error,
         };
         match after_accept_error(&error) {
-            AfterAcceptError::Wait => Queued::Empty,
-            AfterAcceptError::AcceptNext => Queued::Lost(error),
-            AfterAcceptError::Pause => Queued::Shortage(error),
+            AfterAcceptError::Wait => TryAccept::Empty,
+            AfterAcceptError::AcceptNext => TryAccept::Lost(error),
+            AfterAcceptError::Pause => TryAccept::Shortage(error),
         }
     }
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) use calls::injection;
 pub use connect::{connect, ConnectError};
 pub use fault::{after_accept_error, connect_fault, lacks_descriptor, AfterAcceptError, Fault, SocketCall};
-pub use listener::{Listener, Queued};
+pub use listener::{Listener, TryAccept};
 pub use reachability::Reachability;
 
 #[cfg(test)]
--- a/proxy/src/net/tests.rs
+++ b/proxy/src/net/tests.rs
@@ -4,14 +4,14 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-fn loopback() -> (Listener, SocketAddr) {
+fn loopback_listener() -> (Listener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     (Listener::new(listener).unwrap(), address)
 }
 
 #[test]
-fn each_error_of_a_connection_that_is_made_has_one_cause() {
+fn connect_errors_are_classified_as_local_path_or_peer_faults() {
     use Fault::{Local, Path, Peer, PeerTimedOut};
     let shortages =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ACCESS, Errno::AFNOSUPPORT];
@@ -42,12 +42,12 @@
     for (error, fault) in connect {
         assert_eq!(connect_fault(SocketCall::Connect, &error.into()), fault, "{error:?}");
     }
-    let no_system_error = std::io::Error::other("none");
-    assert_eq!(connect_fault(SocketCall::Connect, &no_system_error), Peer);
+    let custom_error = std::io::Error::other("none");
+    assert_eq!(connect_fault(SocketCall::Connect, &custom_error), Peer);
 }
 
 #[test]
-fn only_a_shortage_makes_an_accept_loop_pause() {
+fn accept_errors_select_wait_accept_next_or_pause() {
     use AfterAcceptError::{AcceptNext, Pause, Wait};
     let cases = [
         (Errno::AGAIN, Wait),
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn a_connection_that_went_in_the_queue_holds_up_nobody_behind_it_and_a_shortage_is_waited_out() {
-    let (listener, address) = loopback();
+fn accept_retries_aborted_connections_at_once_and_pauses_on_shortage() {
+    let (listener, address) = loopback_listener();
     for (error, times, pauses) in [
         (Errno::CONNABORTED, 20, 0),
         (Errno::INTR, 20, 0),
@@ -91,37 +91,40 @@
     ] {
         let _client = TcpStream::connect(address).unwrap();
         injection::fail(SocketCall::Accept, error, times);
-        let (begun, mut errors) = (Instant::now(), 0);
+        let (started, mut errors) = (Instant::now(), 0);
         async_io::block_on(listener.accept(|_| errors += 1));
-        let took = begun.elapsed();
-        let paused = Duration::from_millis(20) * pauses;
+        let elapsed = started.elapsed();
+        let min_elapsed = Duration::from_millis(20) * pauses;
         assert_eq!((errors, injection::left(SocketCall::Accept)), (times, 0), "{error:?}");
-        assert!(took >= paused && took < paused + Duration::from_millis(500), "{error:?}: {took:?}");
+        assert!(
+            elapsed >= min_elapsed && elapsed < min_elapsed + Duration::from_millis(500),
+            "{error:?}: {elapsed:?}"
+        );
     }
 }
 
 #[test]
-fn a_queue_tells_its_end_from_what_was_lost_in_it() {
-    let (listener, address) = loopback();
+fn try_accept_distinguishes_lost_shortage_connection_and_empty() {
+    let (listener, address) = loopback_listener();
     let _client = TcpStream::connect(address).unwrap();
     injection::fail(SocketCall::Accept, Errno::CONNABORTED, 1);
     injection::fail(SocketCall::Accept, Errno::MFILE, 1);
-    assert!(matches!(listener.queued(), Queued::Lost(_)));
-    assert!(matches!(listener.queued(), Queued::Shortage(_)));
-    assert!(matches!(listener.queued(), Queued::Connection(_)));
-    assert!(matches!(listener.queued(), Queued::Empty));
+    assert!(matches!(listener.try_accept(), TryAccept::Lost(_)));
+    assert!(matches!(listener.try_accept(), TryAccept::Shortage(_)));
+    assert!(matches!(listener.try_accept(), TryAccept::Connection(_)));
+    assert!(matches!(listener.try_accept(), TryAccept::Empty));
 }
 
 #[test]
-fn a_connection_is_made_or_the_call_that_failed_is_named() {
-    let (listener, address) = loopback();
+fn connect_returns_a_stream_or_the_failed_call_and_its_fault() {
+    let (listener, address) = loopback_listener();
     let connect = |address| async_io::block_on(connect(address));
     // An interrupted call goes on, and a connection whose small writes may be delayed is used.
     injection::fail(SocketCall::SetNoDelay, Errno::NOBUFS, 1);
     let stream = connect(address).unwrap();
     assert_eq!(injection::left(SocketCall::SetNoDelay), 0);
     stream.get_ref().write_all(b"x").unwrap();
-    assert!(matches!(listener.queued(), Queued::Connection(_)));
+    assert!(matches!(listener.try_accept(), TryAccept::Connection(_)));
     for (call, error, fault) in [
         (SocketCall::Socket, Errno::MFILE, Fault::Local),
         (SocketCall::Socket, Errno::NOBUFS, Fault::Local),
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn an_endpoint_is_blamed_for_its_path_only_where_others_are_reached() {
+fn path_failure_counts_against_an_endpoint_only_if_others_were_reached() {
     let [a, b, c] = [1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let mut reachability = Reachability::default();
     // This machine's network is down: nobody is reached, and nobody is blamed.
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -36,7 +36,7 @@
         let all = self.runtime.large.get() - self.bytes + bytes;
         self.bytes = bytes;
         self.runtime.large.set(all);
-        all <= self.runtime.room.get().large || bytes == 0
+        all <= self.runtime.room.get().large_value_bytes || bytes == 0
     }
 }
 
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -91,7 +91,7 @@
     /// Cuts off the clients that take none of their answers while these fill most of the room. With a few that
     /// read nothing, nobody else's request would be taken for as long as one alone may stall.
     pub(in crate::wire::driver) fn cut_off_stalled(&self) {
-        if self.unsent.get() / MAX_VALUE * 2 < self.room.get().taken {
+        if self.unsent.get() / MAX_VALUE * 2 < self.room.get().requests {
             return;
         }
         let now = self.clock.now();
@@ -106,7 +106,7 @@
     /// Ends the connections that have had half a command for longest while such take more room than there is.
     /// Hundreds that each send most of one could together take all the memory.
     pub(super) fn evict_half_read(&self) {
-        while self.half_read.get() > self.room.get().half_read {
+        while self.half_read.get() > self.room.get().partial_command_bytes {
             let clients = self.clients.borrow();
             // What waits whole for room is no half.
             let half = clients.values().filter(|c| c.counted_half.get() > 0 && c.half_since.get() > 0);
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -163,7 +163,7 @@
     /// Whether another request may be taken: each may come to hold a value of the largest size. What is not
     /// read stays in the sockets, and its clients wait.
     fn room(&self) -> bool {
-        self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().taken
+        self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().requests
     }
 }
 
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Two processes on one address: listening next to another, leaving in its favour, heeding one state.
 
 use super::{client, Runtime};
-use crate::net::{Listener, Queued};
+use crate::net::{Listener, TryAccept};
 use crate::state::endpoints::AdministrativeDrains;
 use crate::state::hot_restart::{HotRestart, OtherProcess};
 use async_io::Timer;
@@ -111,11 +111,11 @@
 
     /// Takes this process's part of the limits while so many live.
     fn share(&self, processes: usize) {
-        let room = self.limits.room(processes);
+        let room = self.limits.per_process(processes);
         self.room.set(room);
-        self.client_budget.resize(room.clients);
-        self.upstream_budget.resize(room.upstream);
-        while self.upstream_budget.used() > room.upstream && self.pools.borrow_mut().evict() {}
+        self.client_budget.resize(room.client_connections);
+        self.upstream_budget.resize(room.upstream_connections);
+        while self.upstream_budget.used() > room.upstream_connections && self.pools.borrow_mut().evict() {}
     }
 
     /// Takes no new connections. What waits in the queue is taken first: connections that are in it when the
@@ -133,24 +133,24 @@
                 Timer::after(READY_YET).await;
                 continue;
             }
-            match listener.queued() {
-                Queued::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
+            match listener.try_accept() {
+                TryAccept::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
                 // One that went while it was queued says nothing of those behind it.
-                Queued::Lost(error) if lost < BACKLOG => {
+                TryAccept::Lost(error) if lost < BACKLOG => {
                     self.accept_failed(&error);
                     lost += 1;
                 }
                 // What is short comes back while others end; the rest of the queue would be reset unread.
-                Queued::Shortage(error) if in_time => {
+                TryAccept::Shortage(error) if in_time => {
                     self.accept_failed(&error);
                     Timer::after(READY_YET).await;
                 }
-                Queued::Lost(error) | Queued::Shortage(error) => {
+                TryAccept::Lost(error) | TryAccept::Shortage(error) => {
                     log::warn!("acceptor: closed with connections that cannot be accepted: {error}");
                     break;
                 }
                 // Closed before anything else is done.
-                Queued::Empty => break,
+                TryAccept::Empty => break,
             }
         }
         drop(listener);
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -11,7 +11,7 @@
 use super::command::BackendCommand;
 use crate::group::tasks::Tasks;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::config::{Config, Limits, Room};
+use crate::lifecycle::config::{Config, Limits, ProcessLimits};
 use crate::negative_cache::NegativeCache;
 use crate::net::{Listener, Reachability};
 use crate::outcome::ConnectionEnd;
@@ -100,7 +100,7 @@
     short: Cell<bool>,
     limits: Limits,
     /// This process's part of them.
-    room: Cell<Room>,
+    room: Cell<ProcessLimits>,
     /// Bytes of commands that are half read, on all client connections.
     half_read: Rc<Cell<usize>>,
     /// Bytes of answers that clients have not taken yet.
@@ -136,7 +136,7 @@
         let proxy =
             Proxy::new(settings, config.settings.names(), config.policy, config.seed, clock.reading());
         let processes = 1 + hot_restart.as_ref().map_or(0, |h| h.others().len());
-        let room = config.limits.room(processes);
+        let room = config.limits.per_process(processes);
         let runtime = Rc::new(Runtime {
             proxy: RefCell::new(proxy),
             pools: RefCell::new(Pools::new(network.idle_close)),
@@ -152,8 +152,8 @@
             clock,
             network,
             discovery: Cell::new(config.discovery),
-            client_budget: Budget::new(room.clients),
-            upstream_budget: Budget::new(room.upstream),
+            client_budget: Budget::new(room.client_connections),
+            upstream_budget: Budget::new(room.upstream_connections),
             reachability: RefCell::default(),
             connect_faults: Cell::new(0),
             short: Cell::new(false),
@@ -170,7 +170,7 @@
             missing: fleet.missing,
         });
         // The module asks for a watch once it is given a list, even one without lines.
-        let known = config.known.unwrap_or(crate::state::endpoints::Update {
+        let known = config.known_endpoints.unwrap_or(crate::state::endpoints::Update {
             rev: 0,
             all: true,
             targets: Vec::new(),
