--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -24,13 +24,13 @@
 struct Attempt {
     attempt_id: AttemptId,
     sent: Micros,
-    out: bool,
+    outstanding: bool,
 }
 
 struct InFlightRequest<C> {
     client_id: Vec<u8>,
     class: u32,
-    place: ReplySlot,
+    reply_slot: ReplySlot,
     call: Rc<C>,
     attempts: Vec<Attempt>,
     timers: Vec<TimerKey>,
@@ -50,7 +50,7 @@
     pub endpoints: EndpointList,
     in_flight: HashMap<RequestId, InFlightRequest<C>>,
     /// The clients' ids of all requests in flight.
-    open_ids: HashSet<Vec<u8>>,
+    open_client_ids: HashSet<Vec<u8>>,
     reply_slots: HashMap<ReplySlot, RequestId>,
     outstanding: HashMap<AttemptId, (RequestId, u32)>,
     timers: Timers,
@@ -59,18 +59,18 @@
     next_request: RequestId,
     next_attempt_id: AttemptId,
     commands: Vec<Command<C>>,
-    inputs: VecDeque<Event<'static>>,
+    pending_events: VecDeque<Event<'static>>,
     actions: Vec<Action>,
     /// What the group's versions forbid, where they are acted on.
     version_in_force: Option<VersionInForce>,
     /// Requests refused by it.
-    refused_by_version: u64,
+    rejected_by_version: u64,
     /// What operators took out of service, and put back lately.
     drains: AdministrativeDrains,
 }
 
 /// Who is refused by a version comes back after so long: a version lasts longer.
-const FORBIDDEN_FOR: Micros = 1_000_000;
+const FORBIDDEN_RETRY_AFTER: Micros = 1_000_000;
 
 impl<C> Proxy<C> {
     /// A proxy that holds no list yet.
@@ -87,7 +87,7 @@
             start,
             endpoints,
             in_flight: HashMap::new(),
-            open_ids: HashSet::new(),
+            open_client_ids: HashSet::new(),
             reply_slots: HashMap::new(),
             outstanding: HashMap::new(),
             timers: Timers::default(),
@@ -95,11 +95,11 @@
             next_request: 1,
             next_attempt_id: 1,
             commands: Vec::new(),
-            inputs: VecDeque::new(),
+            pending_events: VecDeque::new(),
             names,
             actions: Vec::new(),
             version_in_force: None,
-            refused_by_version: 0,
+            rejected_by_version: 0,
             drains: AdministrativeDrains::default(),
         }
     }
@@ -123,32 +123,35 @@
 
     /// A request was read whole. One that cannot be carried out is not taken, and the error says why: guards
     /// against backends and the origin that are asked, and judged, for what no backend could answer.
-    pub fn taken(&mut self, now: Micros, taken: ClientRequest<C>) -> Result<(), RequestError> {
-        let class = index_of(&self.names.classes, &taken.class).ok_or(RequestError::UnknownClass)?;
+    pub fn start_request(&mut self, now: Micros, request: ClientRequest<C>) -> Result<(), RequestError> {
+        let class = index_of(&self.names.classes, &request.class).ok_or(RequestError::UnknownClass)?;
         self.advance_version(now);
-        let forbidden = self.version_in_force.as_ref().is_some_and(|o| o.forbids(&taken.class, &taken.key));
+        let forbidden = self
+            .version_in_force
+            .as_ref()
+            .is_some_and(|versions| versions.forbids(&request.class, &request.key));
         // Backends know a request by its id: another of the same id would end the one that is open.
-        if !self.open_ids.insert(taken.id.clone()) {
+        if !self.open_client_ids.insert(request.id.clone()) {
             return Err(RequestError::IdInUse);
         }
         let id = self.next_request;
         self.next_request += 1;
         self.counters.taken += 1;
-        let request = Request {
+        let arrival = Request {
             id,
             class: Some(class),
-            tenant: index_of(&self.names.tenants, &taken.tenant),
-            key: Some(key_hash(&taken.key)),
-            group: self.stack.group(&taken.key),
-            write: taken.write,
-            deadline: taken.due,
+            tenant: index_of(&self.names.tenants, &request.tenant),
+            key: Some(key_hash(&request.key)),
+            group: self.stack.group(&request.key),
+            write: request.write,
+            deadline: request.deadline,
         };
-        self.reply_slots.insert(taken.place, id);
+        self.reply_slots.insert(request.reply_slot, id);
         let in_flight = InFlightRequest {
-            client_id: taken.id,
+            client_id: request.id,
             class,
-            place: taken.place,
-            call: Rc::new(taken.call),
+            reply_slot: request.reply_slot,
+            call: Rc::new(request.call),
             attempts: Vec::new(),
             timers: Vec::new(),
             finished: false,
@@ -156,49 +159,54 @@
         };
         self.in_flight.insert(id, in_flight);
         if forbidden {
-            self.refused_by_version += 1;
-            self.finish(id, Answer::Refused { retry_after: FORBIDDEN_FOR });
+            self.rejected_by_version += 1;
+            self.finish(id, Answer::Rejected { retry_after: FORBIDDEN_RETRY_AFTER });
         } else {
-            self.feed(now, Event::Arrived(request));
+            self.process_event(now, Event::Arrived(arrival));
         }
         Ok(())
     }
 
     /// The client has gone before the answer.
-    pub fn left(&mut self, now: Micros, place: ReplySlot) {
-        if let Some(id) = self.reply_slots.remove(&place) {
+    pub fn client_left(&mut self, now: Micros, reply_slot: ReplySlot) {
+        if let Some(id) = self.reply_slots.remove(&reply_slot) {
             self.counters.left += 1;
             if let Some(request) = self.in_flight.get_mut(&id) {
                 request.finished = true;
             }
-            self.feed(now, Event::ClientLeft(id));
-            self.forget(id);
+            self.process_event(now, Event::ClientLeft(id));
+            self.remove_if_done(id);
         }
     }
 
     /// Where the answer goes for which an attempt is out; `None` once nobody waits for it any more.
-    pub fn awaited(&self, attempt_id: AttemptId) -> Option<ReplySlot> {
+    pub fn reply_slot(&self, attempt_id: AttemptId) -> Option<ReplySlot> {
         let (id, _) = self.outstanding.get(&attempt_id)?;
-        self.in_flight.get(id).filter(|request| !request.finished).map(|request| request.place)
+        self.in_flight.get(id).filter(|request| !request.finished).map(|request| request.reply_slot)
     }
 
     /// An attempt brings a value that is passed on as it comes: from here on the answer is its. Where that goes;
     /// `None` if nobody waits for it any more. The time is that from the command to its first byte, as
     /// [`AttemptReply::took`].
-    pub fn begun(&mut self, now: Micros, attempt_id: AttemptId, took: Option<Micros>) -> Option<ReplySlot> {
+    pub fn start_streaming(
+        &mut self,
+        now: Micros,
+        attempt_id: AttemptId,
+        took: Option<Micros>,
+    ) -> Option<ReplySlot> {
         let &(id, attempt) = self.outstanding.get(&attempt_id)?;
         let request = self.in_flight.get_mut(&id)?;
         if request.finished || request.streaming.is_some() {
             return None;
         }
         request.streaming = Some(attempt);
-        let place = request.place;
-        self.feed(now, Event::ReplyStarted { id, attempt, took });
-        Some(place)
+        let reply_slot = request.reply_slot;
+        self.process_event(now, Event::ReplyStarted { id, attempt, took });
+        Some(reply_slot)
     }
 
     /// An attempt has ended.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         attempt_id: AttemptId,
@@ -208,30 +216,30 @@
         // What was called off has ended already: its late answer is nobody's.
         let Some((id, n)) = self.outstanding.remove(&attempt_id) else { return };
         self.counters.attempt_ended(outcome);
-        let told = outcome.outcome();
-        let (mut waited, mut last) = (0, true);
+        let router_outcome = outcome.outcome();
+        let (mut waited, mut request_done) = (0, true);
         if let Some(request) = self.in_flight.get_mut(&id) {
             if let Some(attempt) = request.attempts.get_mut(n as usize) {
-                attempt.out = false;
+                attempt.outstanding = false;
                 waited = reply.waited.unwrap_or(now.saturating_sub(attempt.sent));
             }
-            let passed = request.streaming == Some(n);
-            let answer = match told {
+            let streamed = request.streaming == Some(n);
+            let answer = match router_outcome {
                 Outcome::Ok if outcome == AttemptOutcome::Absent => {
                     request.streaming.is_none().then_some(Answer::Absent)
                 }
-                Outcome::Ok if passed => Some(Answer::PassedOn),
+                Outcome::Ok if streamed => Some(Answer::Streamed),
                 Outcome::Ok if request.streaming.is_none() => {
                     Some(Answer::Served(reply.value.unwrap_or_default()))
                 }
                 // Some of it is with the client: no other attempt can be joined to that.
-                _ if passed => Some(Answer::Cut),
+                _ if streamed => Some(Answer::Truncated),
                 _ => None,
             };
             if let Some(answer) = answer {
                 self.answer(id, answer);
             }
-            last = self.in_flight.get(&id).is_none_or(|h| h.finished);
+            request_done = self.in_flight.get(&id).is_none_or(|request| request.finished);
         }
         let answered = matches!(
             outcome,
@@ -241,8 +249,11 @@
                 | AttemptOutcome::NoCapacity
         );
         let took = if answered { reply.took } else { Some(waited) };
-        self.feed(now, Event::AttemptEnded { id, attempt: n, outcome: told, took, request_done: last });
-        self.forget(id);
+        self.process_event(
+            now,
+            Event::AttemptEnded { id, attempt: n, outcome: router_outcome, took, request_done },
+        );
+        self.remove_if_done(id);
     }
 
     /// discovery sent the list or changes.
@@ -253,10 +264,10 @@
             log::warn!(version = rev; "discovery: changes up to {rev} came after {}", self.endpoints.rev());
             return;
         };
-        self.list(now, applied);
+        self.send_endpoint_event(now, applied);
     }
 
-    fn list(&mut self, now: Micros, applied: Applied) {
+    fn send_endpoint_event(&mut self, now: Micros, applied: Applied) {
         for server in applied.dropped {
             self.commands.push(Command::DropConnections(server));
         }
@@ -266,22 +277,22 @@
             Event::EndpointUpdate(&applied.members)
         };
         self.stack.handle(now, event, &mut self.actions);
-        self.perform(now);
-        self.settle(now);
+        self.perform_actions(now);
+        self.process_events(now);
     }
 
     /// A watch could not be begun, or has ended.
     pub fn discovery_failed(&mut self, now: Micros, end: DiscoveryEnd) {
         self.counters.watch_ended(end);
-        self.feed(now, Event::DiscoveryError);
+        self.process_event(now, Event::DiscoveryError);
     }
 
     /// Gives every request its final answer now, but for those whose answer is being passed on.
     pub fn answer_all(&mut self, now: Micros) {
-        let mut open: Vec<RequestId> = self.reply_slots.values().copied().collect();
-        open.sort_unstable();
-        for id in open {
-            self.feed(now, Event::AnswerNow(id));
+        let mut unanswered: Vec<RequestId> = self.reply_slots.values().copied().collect();
+        unanswered.sort_unstable();
+        for id in unanswered {
+            self.process_event(now, Event::AnswerNow(id));
         }
     }
 
@@ -289,31 +300,31 @@
     pub fn tick(&mut self, now: Micros) {
         self.advance_version(now);
         while let Some(token) = self.timers.pop(now) {
-            self.feed(now, Event::Timer(token));
+            self.process_event(now, Event::Timer(token));
         }
     }
 
-    fn feed(&mut self, now: Micros, event: Event<'static>) {
-        self.inputs.push_back(event);
-        self.settle(now);
+    fn process_event(&mut self, now: Micros, event: Event<'static>) {
+        self.pending_events.push_back(event);
+        self.process_events(now);
     }
 
     /// Hands what has happened to the module until nothing more comes of it.
-    fn settle(&mut self, now: Micros) {
-        while let Some(event) = self.inputs.pop_front() {
+    fn process_events(&mut self, now: Micros) {
+        while let Some(event) = self.pending_events.pop_front() {
             let ended = match event {
                 Event::AttemptEnded { id, .. } => Some(id),
                 _ => None,
             };
             self.stack.handle(now, event, &mut self.actions);
-            self.perform(now);
+            self.perform_actions(now);
             if let Some(id) = ended {
-                self.forget(id);
+                self.remove_if_done(id);
             }
         }
     }
 
-    fn perform(&mut self, now: Micros) {
+    fn perform_actions(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
@@ -321,7 +332,7 @@
                     self.send(now, id, server, (give_up_at, begin_by));
                 }
                 Action::Cancel { id, attempt } => self.cancel(now, id, attempt),
-                Action::Reject { id, retry_after } => self.finish(id, Answer::Refused { retry_after }),
+                Action::Reject { id, retry_after } => self.finish(id, Answer::Rejected { retry_after }),
                 Action::Fail { id } => self.finish(id, Answer::Failed),
                 Action::Timer { after, token } => self.set_timer(now.saturating_add(after), token),
                 Action::Watch => self.commands.push(Command::Watch),
@@ -342,42 +353,42 @@
         self.next_attempt_id += 1;
         self.counters.sent += 1;
         self.outstanding.insert(attempt_id, (id, request.attempts.len() as u32));
-        request.attempts.push(Attempt { attempt_id, sent: now, out: true });
+        request.attempts.push(Attempt { attempt_id, sent: now, outstanding: true });
         let call = Rc::clone(&request.call);
         self.commands.push(Command::StartAttempt { attempt_id, server, call, give_up_at, begin_by });
     }
 
     fn cancel(&mut self, now: Micros, id: RequestId, n: u32) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
-        let Some(attempt) = request.attempts.get_mut(n as usize).filter(|a| a.out) else { return };
-        attempt.out = false;
+        let Some(attempt) = request.attempts.get_mut(n as usize).filter(|a| a.outstanding) else { return };
+        attempt.outstanding = false;
         self.outstanding.remove(&attempt.attempt_id);
         self.commands.push(Command::Cancel(attempt.attempt_id));
         self.counters.attempt_ended(AttemptOutcome::Cancelled);
         let took = Some(now.saturating_sub(attempt.sent));
-        let (outcome, last) = (AttemptOutcome::Cancelled.outcome(), request.finished);
-        let event = Event::AttemptEnded { id, attempt: n, outcome, took, request_done: last };
-        self.inputs.push_back(event);
+        let (outcome, request_done) = (AttemptOutcome::Cancelled.outcome(), request.finished);
+        let event = Event::AttemptEnded { id, attempt: n, outcome, took, request_done };
+        self.pending_events.push_back(event);
     }
 
     fn finish(&mut self, id: RequestId, answer: Answer) {
         self.answer(id, answer);
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// Gives a request its final answer, unless it has one: the one place where how it ended is counted.
+    /// Gives a request its final answer, unless it has one: the one reply_slot where how it ended is counted.
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(request) = self.in_flight.get_mut(&id).filter(|h| !h.finished) else { return };
+        let Some(request) = self.in_flight.get_mut(&id).filter(|request| !request.finished) else { return };
         request.finished = true;
-        self.reply_slots.remove(&request.place);
+        self.reply_slots.remove(&request.reply_slot);
         if let Some(class) = self.counters.classes.get_mut(request.class as usize) {
             match answer {
-                Answer::Served(_) | Answer::PassedOn => class.served += 1,
-                Answer::Refused { .. } => class.refused += 1,
-                Answer::Failed | Answer::Absent | Answer::Cut => class.failed += 1,
+                Answer::Served(_) | Answer::Streamed => class.served += 1,
+                Answer::Rejected { .. } => class.refused += 1,
+                Answer::Failed | Answer::Absent | Answer::Truncated => class.failed += 1,
             }
         }
-        self.commands.push(Command::Answer(request.place, answer));
+        self.commands.push(Command::Answer(request.reply_slot, answer));
     }
 
     fn set_timer(&mut self, due: Micros, token: u64) {
@@ -396,10 +407,14 @@
 
     /// Drops a request that is over and has nothing out, and its timers with it. Clients may wait for an hour:
     /// the timers of what was answered long ago would fill the queue, and then a request could go unanswered.
-    fn forget(&mut self, id: RequestId) {
-        if self.in_flight.get(&id).is_some_and(|h| h.finished && h.attempts.iter().all(|a| !a.out)) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self
+            .in_flight
+            .get(&id)
+            .is_some_and(|request| request.finished && request.attempts.iter().all(|a| !a.outstanding))
+        {
             let Some(request) = self.in_flight.remove(&id) else { return };
-            self.open_ids.remove(&request.client_id);
+            self.open_client_ids.remove(&request.client_id);
             for key in request.timers {
                 self.timers.remove(key);
             }
--- a/proxy/src/proxy/overrides.rs
+++ b/proxy/src/proxy/overrides.rs
@@ -9,7 +9,7 @@
     /// Acts on the group's versions from here on: on the guard, until a plan says otherwise.
     pub fn enforce_versions(&mut self, now: Micros, version_in_force: VersionInForce) {
         self.version_in_force = Some(version_in_force);
-        self.overlay(now);
+        self.apply_drains(now);
     }
 
     /// The group has confirmed what is acted on from when to when.
@@ -18,8 +18,10 @@
             version_in_force.plan(steps);
         }
         self.advance_version(now);
-        if let Some((version_in_force, version)) =
-            self.version_in_force.as_ref().and_then(|o| Some((o, o.acting().on.as_ref()?)))
+        if let Some((version_in_force, version)) = self
+            .version_in_force
+            .as_ref()
+            .and_then(|versions| Some((versions, versions.acting().on.as_ref()?)))
         {
             let (number, left) = (version.number, version_in_force.until().saturating_sub(now) / 1000);
             log::debug!(event = "confirmed", version = number, left_ms = left; "versions: {number} for {left} ms");
@@ -28,8 +30,10 @@
 
     /// Goes on to the version, or the safe mode, that is due.
     pub(super) fn advance_version(&mut self, now: Micros) {
-        let Some(version_in_force) =
-            self.version_in_force.as_mut().filter(|o| o.next_due().is_some_and(|due| due <= now))
+        let Some(version_in_force) = self
+            .version_in_force
+            .as_mut()
+            .filter(|versions| versions.next_due().is_some_and(|due| due <= now))
         else {
             return;
         };
@@ -41,25 +45,25 @@
                 }
                 None => log::warn!(event = "acts", left_ms = 0; "versions: safe mode, nothing is confirmed"),
             }
-            self.overlay(now);
+            self.apply_drains(now);
         }
     }
 
     /// These backends are drained by operators from here on and no others; those put back lately count as cold from then.
     pub fn set_drains(&mut self, now: Micros, drains: AdministrativeDrains) {
         self.drains = drains;
-        self.overlay(now);
+        self.apply_drains(now);
     }
 
     /// Lays what operators and the version in force drain over the list.
-    fn overlay(&mut self, now: Micros) {
+    fn apply_drains(&mut self, now: Micros) {
         let mut drains = self.drains.clone();
         if let Some(version_in_force) = &self.version_in_force {
             drains.drained.extend(version_in_force.rules().workers.iter().cloned());
         }
         let applied = self.endpoints.set_drains(now, drains);
         if !applied.members.is_empty() {
-            self.list(now, applied);
+            self.send_endpoint_event(now, applied);
         }
     }
 }
--- a/proxy/src/proxy/request.rs
+++ b/proxy/src/proxy/request.rs
@@ -9,7 +9,7 @@
 pub struct ReplySlot {
     /// The client's connection.
     pub connection: u64,
-    /// The place among its commands.
+    /// The reply_slot among its commands.
     pub sequence: u64,
 }
 
@@ -22,7 +22,7 @@
     /// The value or the receipt that a backend or the origin gave for this request.
     Served(Vec<u8>),
     /// An overload reply: trying again is harmless.
-    Refused {
+    Rejected {
         /// How long the client should stay away; 0 for no advice.
         retry_after: Micros,
     },
@@ -31,9 +31,9 @@
     /// Failed: there is nothing under the key.
     Absent,
     /// The value has been passed on as it came, and all of it made sense.
-    PassedOn,
+    Streamed,
     /// The value was being passed on and does not go on; the client has to be able to tell.
-    Cut,
+    Truncated,
 }
 
 /// Why a request is not taken. The texts are part of the answer to its client.
@@ -52,7 +52,7 @@
     /// Its id, as the client gave it.
     pub id: Vec<u8>,
     /// Where the answer goes.
-    pub place: ReplySlot,
+    pub reply_slot: ReplySlot,
     /// The class, by its name.
     pub class: String,
     /// The tenant, by its name.
@@ -62,7 +62,7 @@
     /// Whether it writes.
     pub write: bool,
     /// When the client gives up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// What is passed on.
     pub call: C,
 }
@@ -82,7 +82,7 @@
 
 /// What the driver has to do, in this order.
 pub enum Command<C> {
-    /// Begin an attempt; [`super::Proxy::ended`] is owed for it.
+    /// Begin an attempt; [`super::Proxy::attempt_ended`] is owed for it.
     StartAttempt {
         /// Its number.
         attempt_id: AttemptId,
--- a/proxy/src/proxy/tests.rs
+++ b/proxy/src/proxy/tests.rs
@@ -61,37 +61,37 @@
     ReplySlot { connection: 1, sequence }
 }
 
-fn take(proxy: &mut Proxy<()>, place: u64, now: Micros) -> Vec<AttemptId> {
-    proxy.taken(now, request(place, "read", now)).unwrap();
-    upstream(proxy.take_commands())
+fn start_read(proxy: &mut Proxy<()>, sequence: u64, now: Micros) -> Vec<AttemptId> {
+    proxy.start_request(now, request(sequence, "read", now)).unwrap();
+    started_attempts(proxy.take_commands())
 }
 
-fn request(place: u64, class: &str, now: Micros) -> ClientRequest<()> {
+fn request(sequence: u64, class: &str, now: Micros) -> ClientRequest<()> {
     ClientRequest {
-        id: place.to_string().into_bytes(),
-        place: slot(place),
+        id: sequence.to_string().into_bytes(),
+        reply_slot: slot(sequence),
         class: class.into(),
         tenant: String::new(),
         key: b"k".to_vec(),
         write: false,
-        due: now + S,
+        deadline: now + S,
         call: (),
     }
 }
 
 #[test]
-fn what_cannot_be_carried_out_is_not_taken() {
+fn request_with_unknown_class_or_id_in_use_is_not_accepted() {
     let mut proxy = proxy();
-    assert_eq!(proxy.taken(T, request(0, "none", T)), Err(RequestError::UnknownClass));
-    let out = take(&mut proxy, 0, T);
-    assert_eq!(proxy.taken(T, request(0, "read", T)), Err(RequestError::IdInUse));
+    assert_eq!(proxy.start_request(T, request(0, "none", T)), Err(RequestError::UnknownClass));
+    let attempts = start_read(&mut proxy, 0, T);
+    assert_eq!(proxy.start_request(T, request(0, "read", T)), Err(RequestError::IdInUse));
     assert!(proxy.take_commands().is_empty(), "the first is not disturbed");
-    proxy.ended(T + 10, out[0], AttemptOutcome::Served, served());
+    proxy.attempt_ended(T + 10, attempts[0], AttemptOutcome::Served, served_reply());
     assert_eq!(answers(proxy.take_commands()), [(slot(0), Answer::Served(b"v".to_vec()))]);
-    assert!(proxy.open_ids.is_empty());
+    assert!(proxy.open_client_ids.is_empty());
 }
 
-fn upstream(commands: Vec<Command<()>>) -> Vec<AttemptId> {
+fn started_attempts(commands: Vec<Command<()>>) -> Vec<AttemptId> {
     let attempt_id = |c: Command<()>| match c {
         Command::StartAttempt { attempt_id, .. } => Some(attempt_id),
         _ => None,
@@ -99,73 +99,80 @@
     commands.into_iter().filter_map(attempt_id).collect()
 }
 
-fn served() -> AttemptReply {
+fn served_reply() -> AttemptReply {
     AttemptReply { value: Some(b"v".to_vec()), ..AttemptReply::default() }
 }
 
 fn answers(commands: Vec<Command<()>>) -> Vec<(ReplySlot, Answer)> {
     let answer = |c: Command<()>| match c {
-        Command::Answer(place, answer) => Some((place, answer)),
+        Command::Answer(reply_slot, answer) => Some((reply_slot, answer)),
         _ => None,
     };
     commands.into_iter().filter_map(answer).collect()
 }
 
 #[test]
-fn a_request_gets_one_answer_and_leaves_nothing_behind() {
+fn answered_request_leaves_no_state_and_late_replies_are_ignored() {
     let mut proxy = proxy();
-    let out = take(&mut proxy, 0, T);
-    assert_eq!((out.len(), proxy.owed()), (1, 1));
+    let attempts = start_read(&mut proxy, 0, T);
+    assert_eq!((attempts.len(), proxy.unanswered_requests()), (1, 1));
     assert!(!proxy.timers.is_empty());
-    proxy.ended(T + 10, out[0], AttemptOutcome::Served, served());
+    proxy.attempt_ended(T + 10, attempts[0], AttemptOutcome::Served, served_reply());
     let served = vec![(slot(0), Answer::Served(b"v".to_vec()))];
     assert_eq!(answers(proxy.take_commands()), served);
-    proxy.ended(T + 20, out[0], AttemptOutcome::Served, AttemptReply::default());
+    proxy.attempt_ended(T + 20, attempts[0], AttemptOutcome::Served, AttemptReply::default());
     assert!(proxy.take_commands().is_empty(), "an ending that was told already is nobody's");
-    assert_eq!((proxy.owed(), proxy.in_flight.len(), proxy.timers.len()), (0, 0, 0));
+    assert_eq!((proxy.unanswered_requests(), proxy.in_flight.len(), proxy.timers.len()), (0, 0, 0));
 }
 
 #[test]
-fn a_client_that_leaves_has_its_delegation_called_off() {
+fn attempt_is_cancelled_when_the_client_leaves() {
     let mut proxy = proxy();
-    let out = take(&mut proxy, 0, T);
-    proxy.left(T + 10, slot(0));
+    let attempts = start_read(&mut proxy, 0, T);
+    proxy.client_left(T + 10, slot(0));
     let commands = proxy.take_commands();
-    assert!(matches!(commands.as_slice(), [Command::Cancel(d)] if *d == out[0]));
+    assert!(matches!(commands.as_slice(), [Command::Cancel(d)] if *d == attempts[0]));
     assert_eq!((proxy.in_flight.len(), proxy.outstanding.len(), proxy.timers.len()), (0, 0, 0));
     assert_eq!((proxy.counters.left, proxy.counters.attempts_ended(AttemptOutcome::Cancelled)), (1, 1));
 }
 
-/// Finding 11: a client that left with a fetch out freed its room, though its request was still in flight.
+/// Finding 11: a client that left with a fetch attempts freed its room, though its request was still in flight.
 #[test]
-fn what_a_client_left_behind_is_held_until_its_fetch_has_ended() {
+fn abandoned_request_stays_in_flight_until_its_origin_fetch_ends() {
     let mut proxy = proxy();
-    let out = take(&mut proxy, 0, T);
-    proxy.ended(T + 10, out[0], AttemptOutcome::Missed, AttemptReply::default());
-    let fetch = upstream(proxy.take_commands());
-    proxy.left(T + 20, slot(0));
-    assert_eq!((proxy.owed(), proxy.holds(), upstream(proxy.take_commands()).len()), (0, 1, 0));
-    proxy.ended(T + 30, fetch[0], AttemptOutcome::Served, served());
+    let attempts = start_read(&mut proxy, 0, T);
+    proxy.attempt_ended(T + 10, attempts[0], AttemptOutcome::Missed, AttemptReply::default());
+    let fetch = started_attempts(proxy.take_commands());
+    proxy.client_left(T + 20, slot(0));
+    assert_eq!(
+        (
+            proxy.unanswered_requests(),
+            proxy.requests_in_flight(),
+            started_attempts(proxy.take_commands()).len()
+        ),
+        (0, 1, 0)
+    );
+    proxy.attempt_ended(T + 30, fetch[0], AttemptOutcome::Served, served_reply());
     assert!(answers(proxy.take_commands()).is_empty(), "nobody waits for it");
-    assert_eq!((proxy.holds(), proxy.left_over()), (0, None));
+    assert_eq!((proxy.requests_in_flight(), proxy.leaked_state()), (0, None));
 }
 
 #[test]
-fn a_request_that_nothing_answers_is_answered_when_it_is_due() {
+fn unanswered_request_is_rejected_at_its_deadline() {
     let mut proxy = proxy();
-    assert_eq!(take(&mut proxy, 0, T).len(), 1);
+    assert_eq!(start_read(&mut proxy, 0, T).len(), 1);
     proxy.tick(T + S - 1);
     assert!(answers(proxy.take_commands()).is_empty());
     proxy.tick(T + S);
     assert!(matches!(
         answers(proxy.take_commands()).as_slice(),
-        [(ReplySlot { connection: 1, sequence: 0 }, Answer::Refused { .. })]
+        [(ReplySlot { connection: 1, sequence: 0 }, Answer::Rejected { .. })]
     ));
-    assert_eq!((proxy.owed(), proxy.in_flight.len(), proxy.timers.len()), (0, 0, 0));
+    assert_eq!((proxy.unanswered_requests(), proxy.in_flight.len(), proxy.timers.len()), (0, 0, 0));
 }
 
 #[test]
-fn a_failed_watch_is_asked_for_again() {
+fn discovery_watch_is_retried_after_a_failure() {
     let mut proxy = proxy();
     proxy.discovery_failed(T, DiscoveryEnd::Silent);
     let due = proxy.next_due().unwrap();
--- a/proxy/src/wire/client_session.rs
+++ b/proxy/src/wire/client_session.rs
@@ -191,20 +191,20 @@
                 bytes.reserve_exact(value.len() + 16);
                 write_bulk(&mut bytes, &value);
             }
-            Answer::Refused { retry_after: 0 } => bytes.extend_from_slice(b"-BUSY\r\n"),
+            Answer::Rejected { retry_after: 0 } => bytes.extend_from_slice(b"-BUSY\r\n"),
             // Rounded up: to come back a little late is harmless.
-            Answer::Refused { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 bytes.extend_from_slice(format!("-BUSY {}\r\n", retry_after.div_ceil(1000)).as_bytes());
             }
             Answer::Failed => bytes.extend_from_slice(b"-ERR failed\r\n"),
             Answer::Absent => bytes.extend_from_slice(b"$-1\r\n"),
-            Answer::PassedOn => return self.replies.end_relay(place),
-            Answer::Cut if self.replies.is_relaying(place) => {
+            Answer::Streamed => return self.replies.end_relay(place),
+            Answer::Truncated if self.replies.is_relaying(place) => {
                 self.replies.cut_relay();
                 return self.close();
             }
             // Nothing of it has gone out yet.
-            Answer::Cut => bytes.extend_from_slice(b"-ERR failed\r\n"),
+            Answer::Truncated => bytes.extend_from_slice(b"-ERR failed\r\n"),
         }
         self.put(place, bytes);
     }
@@ -301,7 +301,7 @@
         let mut places = self.replies.pending_places();
         places.retain(|place| !self.replies.is_relaying(*place));
         for place in &places {
-            self.answer(*place, Answer::Refused { retry_after: COME_AGAIN });
+            self.answer(*place, Answer::Rejected { retry_after: COME_AGAIN });
         }
         self.abort_incoming("the proxy is stopping");
         self.close();
--- a/proxy/src/wire/client_session/tests.rs
+++ b/proxy/src/wire/client_session/tests.rs
@@ -18,7 +18,7 @@
         let mut session = ClientSession::default();
         assert_eq!(asks(&mut session, &bytes[..at]) + asks(&mut session, &bytes[at..]), 3);
         session.pong(2, true);
-        session.answer(1, Answer::Refused { retry_after: 1_001 });
+        session.answer(1, Answer::Rejected { retry_after: 1_001 });
         assert_eq!(session.replies().output(), b"", "the first is still owed");
         assert_eq!(session.replies().unsent_bytes(), b"-BUSY 2\r\n+PONG\r\n".len());
         session.answer(0, Answer::Served(b"v".to_vec()));
@@ -61,7 +61,7 @@
     // Answered early: nothing goes out before its last byte, and the rest is skipped.
     let mut session = ClientSession::default();
     assert_eq!(asks(&mut session, &bytes[..body + MAX_VALUE]), 1);
-    session.answer(0, Answer::Refused { retry_after: 7_000 });
+    session.answer(0, Answer::Rejected { retry_after: 7_000 });
     assert_eq!(asks(&mut session, &bytes[body + MAX_VALUE..body + MAX_VALUE + 3]), 0);
     assert!(session.replies().output().is_empty() && session.unparsed_bytes() == 0);
     assert_eq!(asks(&mut session, &bytes[body + MAX_VALUE + 3..]), 1);
@@ -108,13 +108,13 @@
     whole.answer(1, Answer::Failed);
     whole.replies_mut().relay(b"e");
     assert_eq!((whole.replies().output(), whole.replies().relaying()), (b"abcde".as_slice(), true));
-    whole.answer(0, Answer::PassedOn);
+    whole.answer(0, Answer::Streamed);
     assert_eq!(
         (whole.replies().output(), whole.replies().relaying()),
         (b"abcde\r\n-ERR failed\r\n".as_slice(), false)
     );
     let mut cut = begin();
-    cut.answer(0, Answer::Cut);
+    cut.answer(0, Answer::Truncated);
     cut.replies_mut().relay(b"e");
     assert_eq!((cut.replies().output(), cut.finished()), (b"abcd".as_slice(), false), "what came goes out");
     cut.replies_mut().wrote(4);
@@ -124,7 +124,7 @@
     let mut bytes = Vec::new();
     write_command(&mut bytes, GET);
     assert_eq!(asks(&mut early, &bytes), 1);
-    early.answer(0, Answer::Cut);
+    early.answer(0, Answer::Truncated);
     assert_eq!((early.replies().output(), early.replies().was_cut()), (b"-ERR failed\r\n".as_slice(), false));
 }
 
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -162,7 +162,7 @@
     // cannot be told from the origin's time.
     let took = trace.took().filter(|_| call.streamed.is_none() && trace.first > 0);
     let brought = AttemptReply { value: reply.value, took, waited };
-    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.ending, brought));
+    runtime.drive(|proxy, now| proxy.attempt_ended(now, attempt_id, reply.ending, brought));
 }
 
 /// Waits until an attempt is to be given up.
@@ -289,7 +289,7 @@
         let (unchanged, awaited) = {
             let proxy = self.proxy.borrow();
             let backend = proxy.endpoints.backend(server).filter(|w| w.serving && w.process() == process);
-            (backend.is_some(), proxy.awaited(attempt_id))
+            (backend.is_some(), proxy.reply_slot(attempt_id))
         };
         match awaited {
             Some(slot) if !self.client_gone(slot.connection) => {}
@@ -377,7 +377,7 @@
                         Piece::Begun(length) => {
                             progress.relaying.set(true);
                             let took = trace.took();
-                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, took));
+                            client = runtime.drive(|proxy, now| proxy.start_streaming(now, attempt_id, took));
                             client = still(runtime, client).await;
                             if let Some(place) = client {
                                 runtime
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -84,7 +84,7 @@
         }
         // Their commands were never whole: nobody is owed an answer.
         for place in late_places {
-            self.drive(|proxy, now| proxy.left(now, place));
+            self.drive(|proxy, now| proxy.client_left(now, place));
         }
     }
 
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -217,7 +217,7 @@
         client.session.borrow_mut().close();
         let places = client.session.borrow().replies().pending_places();
         for place in places {
-            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence: place }));
+            self.drive(|proxy, now| proxy.client_left(now, ReplySlot { connection: id, sequence: place }));
         }
         client.room.notify(usize::MAX);
     }
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -163,7 +163,7 @@
     /// Whether another request may be taken: each may come to hold a value of the largest size. What is not
     /// read stays in the sockets, and its clients wait.
     fn room(&self) -> bool {
-        self.proxy.borrow().holds() + self.unsent.get() / MAX_VALUE < self.room.get().requests
+        self.proxy.borrow().requests_in_flight() + self.unsent.get() / MAX_VALUE < self.room.get().requests
     }
 }
 
@@ -175,15 +175,15 @@
     let taken = runtime.drive(|proxy, now| {
         let taken = ClientRequest {
             id: call.id.clone(),
-            place,
+            reply_slot: place,
             class: call.class.clone(),
             tenant: call.tenant.clone(),
             key: call.key.clone(),
             write: call.writes().is_some(),
-            due: read_at.saturating_add(wait),
+            deadline: read_at.saturating_add(wait),
             call,
         };
-        proxy.taken(now, taken)
+        proxy.start_request(now, taken)
     });
     if let Err(error) = taken {
         runtime.proxy.borrow_mut().counters.rejected += 1;
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -317,7 +317,7 @@
 
     /// Requests whose answer is owed.
     pub fn owed(&self) -> usize {
-        self.proxy.borrow().owed()
+        self.proxy.borrow().unanswered_requests()
     }
 
     /// Answers every request now, and reads no further one: the process has no more time.
@@ -349,7 +349,7 @@
         let proxy = self.proxy.borrow();
         let mut figures = proxy.counters.named();
         for (name, n) in [
-            ("owed", proxy.owed()),
+            ("owed", proxy.unanswered_requests()),
             ("clients", self.clients_open()),
             ("delegated", self.upstream_budget.used()),
         ] {
--- a/proxy/tests/clocks.rs
+++ b/proxy/tests/clocks.rs
@@ -13,27 +13,30 @@
 const HOUR: Micros = 3_600 * S;
 const SLOW_START: Micros = 8_100_000;
 /// The monotonic clock when the process begins, and discovery's clock at that moment.
-const BEGUN: Micros = 1 << 50;
-const DISCOVERY: Micros = 1_800_000_000 * S;
+const PROCESS_START: Micros = 1 << 50;
+const DISCOVERY_TIME_AT_START: Micros = 1_800_000_000 * S;
 /// How long a change takes from a start to its notification.
-const NOTICE: Micros = 50_000;
+const NOTIFICATION_DELAY: Micros = 50_000;
 
 /// How far the wall clock is ahead of discovery's, in microseconds.
-const STEPS: [i64; 5] = [0, 3_600_000_000, -3_600_000_000, 3_000_000, -3_000_000];
+const WALL_CLOCK_OFFSETS: [i64; 5] = [0, 3_600_000_000, -3_600_000_000, 3_000_000, -3_000_000];
 
-fn start(step: i64) -> ClockReading {
-    ClockReading { monotonic: BEGUN, wall: UnixMicros(DISCOVERY.saturating_add_signed(step)) }
+fn clock_reading(offset: i64) -> ClockReading {
+    ClockReading {
+        monotonic: PROCESS_START,
+        wall: UnixMicros(DISCOVERY_TIME_AT_START.saturating_add_signed(offset)),
+    }
 }
 
 /// When the router would be told that a backend started, from discovery's stamp.
-trait Ages {
+trait StartTimes {
     /// Takes an update at this moment; each backend that the router is told of, and since when it runs.
-    fn told(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)>;
+    fn apply_update(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)>;
     fn set_current(&mut self) {}
 }
 
-impl Ages for EndpointList {
-    fn told(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)> {
+impl StartTimes for EndpointList {
+    fn apply_update(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)> {
         let members = self.apply(now, update).expect("taken").members;
         members.into_iter().map(|m| (m.server, m.started_at)).collect()
     }
@@ -50,38 +53,38 @@
 struct TrustsWallClock(ClockReading);
 
 /// Takes every start for one of this moment.
-struct TakesAllForCold;
+struct TreatsAllAsCold;
 
-fn each(update: Update, started_at: impl Fn(UnixMicros) -> Micros) -> Vec<(ServerId, Micros)> {
+fn map_start_times(update: Update, started_at: impl Fn(UnixMicros) -> Micros) -> Vec<(ServerId, Micros)> {
     let line = |t: Target| (server_id(&t.uid), started_at(UnixMicros((t.boot_ms * 1e3) as u64)));
     update.targets.into_iter().map(line).collect()
 }
 
-impl Ages for MixesClocks {
-    fn told(&mut self, _: Micros, update: Update) -> Vec<(ServerId, Micros)> {
-        each(update, |stamp| stamp.0)
+impl StartTimes for MixesClocks {
+    fn apply_update(&mut self, _: Micros, update: Update) -> Vec<(ServerId, Micros)> {
+        map_start_times(update, |stamp| stamp.0)
     }
 }
 
-impl Ages for TrustsWallClock {
-    fn told(&mut self, _: Micros, update: Update) -> Vec<(ServerId, Micros)> {
-        each(update, |stamp| self.0.offset().monotonic(stamp))
+impl StartTimes for TrustsWallClock {
+    fn apply_update(&mut self, _: Micros, update: Update) -> Vec<(ServerId, Micros)> {
+        map_start_times(update, |stamp| self.0.offset().monotonic(stamp))
     }
 }
 
-impl Ages for TakesAllForCold {
-    fn told(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)> {
-        each(update, |_| now)
+impl StartTimes for TreatsAllAsCold {
+    fn apply_update(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)> {
+        map_start_times(update, |_| now)
     }
 }
 
-fn list(step: i64) -> EndpointList {
+fn endpoint_list(offset: i64) -> EndpointList {
     let names = DeploymentNames { kinds: vec!["cache".into()], ..DeploymentNames::default() };
-    EndpointList::new(names, None, start(step), SLOW_START)
+    EndpointList::new(names, None, clock_reading(offset), SLOW_START)
 }
 
 /// A backend that started so long after the process did.
-fn started(uid: &str, after: i64) -> Target {
+fn target_started(uid: &str, after: i64) -> Target {
     Target {
         uid: uid.into(),
         endpoint: "127.0.0.1:1".into(),
@@ -90,7 +93,7 @@
         pod_group: 0,
         state: Readiness::InService,
         capacity_hint: 1.0,
-        boot_ms: DISCOVERY.saturating_add_signed(after) as f64 / 1e3,
+        boot_ms: DISCOVERY_TIME_AT_START.saturating_add_signed(after) as f64 / 1e3,
     }
 }
 
@@ -99,155 +102,174 @@
 }
 
 /// Plays one process: a list at the start, then changes while it watches. The first age that is wrong, if any.
-fn play(ages: &mut dyn Ages, wall_is_right: bool) -> Result<(), String> {
+fn check_start_times(start_times: &mut dyn StartTimes, wall_clock_is_correct: bool) -> Result<(), String> {
     let mut since: BTreeMap<ServerId, Micros> = BTreeMap::new();
     let hours = |n: i64| n * HOUR as i64;
-    let old = vec![started("old", hours(-5)), started("older", hours(-700))];
-    since.extend(ages.told(BEGUN, update(1, true, old)));
-    ages.set_current();
+    let old = vec![target_started("old", hours(-5)), target_started("older", hours(-700))];
+    since.extend(start_times.apply_update(PROCESS_START, update(1, true, old)));
+    start_times.set_current();
     let age = |since: &BTreeMap<ServerId, Micros>, uid: &str, now: Micros| {
         now.saturating_sub(since[&server_id(uid)])
     };
     for uid in ["old", "older"] {
-        if age(&since, uid, BEGUN) < SLOW_START {
+        if age(&since, uid, PROCESS_START) < SLOW_START {
             return Err(format!("{uid}: a backend of the fleet is cold at the start of a process"));
         }
     }
     // Starts that are told while the list is watched; the last one long after the first.
     for (rev, uid, after) in [(2, "first", 20 * S), (3, "second", 40 * S), (4, "late", 5 * HOUR)] {
-        let notified = BEGUN + after + NOTICE;
-        since.extend(ages.told(notified, update(rev, false, vec![started(uid, after as i64)])));
+        let notified = PROCESS_START + after + NOTIFICATION_DELAY;
+        since.extend(
+            start_times.apply_update(notified, update(rev, false, vec![target_started(uid, after as i64)])),
+        );
         for now in [notified, notified + S, notified + SLOW_START] {
-            let told = age(&since, uid, now);
-            let real = now - (BEGUN + after);
-            if told > real {
-                return Err(format!("{uid}: taken for {told} us old, and is {real}"));
+            let reported_age = age(&since, uid, now);
+            let real_age = now - (PROCESS_START + after);
+            if reported_age > real_age {
+                return Err(format!("{uid}: taken for {reported_age} us old, and is {real_age}"));
             }
-            if told + NOTICE < real {
-                return Err(format!("{uid}: taken for {told} us old and held back, and is {real}"));
+            if reported_age + NOTIFICATION_DELAY < real_age {
+                return Err(format!(
+                    "{uid}: taken for {reported_age} us old and held back, and is {real_age}"
+                ));
             }
         }
     }
-    if wall_is_right {
+    if wall_clock_is_correct {
         // Told 4 s late, as after a pause of discovery's: its age is known all the same.
-        let late = started("slow", 6 * HOUR as i64);
-        let notified = BEGUN + 6 * HOUR + 4 * S;
-        since.extend(ages.told(notified, update(5, false, vec![late])));
-        let told = age(&since, "slow", notified);
-        if !(4 * S - NOTICE..=4 * S).contains(&told) {
-            return Err(format!("slow: taken for {told} us old, and is {} us", 4 * S));
+        let late = target_started("slow", 6 * HOUR as i64);
+        let notified = PROCESS_START + 6 * HOUR + 4 * S;
+        since.extend(start_times.apply_update(notified, update(5, false, vec![late])));
+        let reported_age = age(&since, "slow", notified);
+        if !(4 * S - NOTIFICATION_DELAY..=4 * S).contains(&reported_age) {
+            return Err(format!("slow: taken for {reported_age} us old, and is {} us", 4 * S));
         }
     }
     Ok(())
 }
 
 #[test]
-fn a_step_of_the_wall_clock_before_the_start_makes_no_new_backend_warm_and_holds_none_back() {
-    for step in STEPS {
-        assert_eq!(play(&mut list(step), step == 0), Ok(()), "wall clock ahead by {step} us");
+fn wall_clock_offset_at_start_neither_warms_nor_delays_new_backends() {
+    for offset in WALL_CLOCK_OFFSETS {
+        assert_eq!(
+            check_start_times(&mut endpoint_list(offset), offset == 0),
+            Ok(()),
+            "wall clock ahead by {offset} us"
+        );
     }
 }
 
 #[test]
-fn a_list_that_mixes_the_clocks_is_caught() {
-    let caught = |ages: &mut dyn Ages, told: &str, step: i64| {
-        let found = play(ages, step == 0).expect_err("not caught");
-        assert!(found.contains(told), "{step}: {found}");
+fn each_incorrect_clock_conversion_is_detected() {
+    let assert_detected = |start_times: &mut dyn StartTimes, expected: &str, offset: i64| {
+        let found = check_start_times(start_times, offset == 0).expect_err("not caught");
+        assert!(found.contains(expected), "{offset}: {found}");
     };
-    caught(&mut MixesClocks, "is cold at the start", 0);
-    caught(&mut TakesAllForCold, "is cold at the start", 0);
-    assert_eq!(play(&mut TrustsWallClock(start(0)), true), Ok(()), "right where the wall clock is");
-    for (step, told) in [
-        (STEPS[1], "taken for 3600"),
-        (STEPS[2], "held back"),
-        (STEPS[3], "taken for 3050000 us old"),
-        (STEPS[4], "held back"),
+    assert_detected(&mut MixesClocks, "is cold at the start", 0);
+    assert_detected(&mut TreatsAllAsCold, "is cold at the start", 0);
+    assert_eq!(
+        check_start_times(&mut TrustsWallClock(clock_reading(0)), true),
+        Ok(()),
+        "right where the wall clock is"
+    );
+    for (offset, expected) in [
+        (WALL_CLOCK_OFFSETS[1], "taken for 3600"),
+        (WALL_CLOCK_OFFSETS[2], "held back"),
+        (WALL_CLOCK_OFFSETS[3], "taken for 3050000 us old"),
+        (WALL_CLOCK_OFFSETS[4], "held back"),
     ] {
-        caught(&mut TrustsWallClock(start(step)), told, step);
+        assert_detected(&mut TrustsWallClock(clock_reading(offset)), expected, offset);
     }
 }
 
 #[test]
-fn a_fresh_process_trusts_its_wall_clock_until_a_change_contradicts_it() {
+fn wall_clock_offset_is_corrected_by_the_first_contradicting_update() {
     let cold = -(2 * S as i64);
-    for (step, first) in [(0, BEGUN - 2 * S), (3_600_000_000, BEGUN - HOUR - 2 * S)] {
-        let mut list = list(step);
+    for (offset, first) in [(0, PROCESS_START - 2 * S), (3_600_000_000, PROCESS_START - HOUR - 2 * S)] {
+        let mut list = endpoint_list(offset);
         assert_eq!(
-            list.told(BEGUN, update(1, true, vec![started("cold", cold)])),
+            list.apply_update(PROCESS_START, update(1, true, vec![target_started("cold", cold)])),
             [(server_id("cold"), first)]
         );
         // What the first watch has to catch up on may have started long ago.
-        let caught_up = list.told(BEGUN + S, update(2, false, vec![started("missed", -9 * S as i64)]));
-        assert_eq!(caught_up, [(server_id("missed"), BEGUN.wrapping_add(step_back(step)) - 9 * S)]);
+        let caught_up = list
+            .apply_update(PROCESS_START + S, update(2, false, vec![target_started("missed", -9 * S as i64)]));
+        assert_eq!(caught_up, [(server_id("missed"), PROCESS_START.wrapping_add(negated(offset)) - 9 * S)]);
         list.set_current();
         let after = S + S / 2;
-        let told = list.told(BEGUN + after + NOTICE, update(3, false, vec![started("new", after as i64)]));
-        let since: BTreeMap<ServerId, Micros> = told.into_iter().collect();
-        assert_eq!(since[&server_id("new")], BEGUN + after + NOTICE);
+        let members = list.apply_update(
+            PROCESS_START + after + NOTIFICATION_DELAY,
+            update(3, false, vec![target_started("new", after as i64)]),
+        );
+        let since: BTreeMap<ServerId, Micros> = members.into_iter().collect();
+        assert_eq!(since[&server_id("new")], PROCESS_START + after + NOTIFICATION_DELAY);
         let corrected = since.get(&server_id("cold")).copied();
-        let expected = (step > 0).then_some(BEGUN - 2 * S + NOTICE);
-        assert_eq!(corrected, expected, "wall clock ahead by {step} us");
+        let expected = (offset > 0).then_some(PROCESS_START - 2 * S + NOTIFICATION_DELAY);
+        assert_eq!(corrected, expected, "wall clock ahead by {offset} us");
     }
 }
 
-fn step_back(step: i64) -> Micros {
-    0u64.wrapping_sub(step as u64)
+fn negated(offset: i64) -> Micros {
+    0u64.wrapping_sub(offset as u64)
 }
 
 #[test]
-fn a_start_in_the_future_is_held_in_slow_start_from_its_notification_and_no_longer() {
-    let mut list = list(0);
-    let told = list.told(BEGUN, update(1, true, vec![started("ahead", HOUR as i64)]));
-    assert_eq!(told, [(server_id("ahead"), BEGUN)]);
+fn start_time_in_the_future_counts_from_the_first_notification() {
+    let mut list = endpoint_list(0);
+    let members =
+        list.apply_update(PROCESS_START, update(1, true, vec![target_started("ahead", HOUR as i64)]));
+    assert_eq!(members, [(server_id("ahead"), PROCESS_START)]);
     // Told once more it is the same start, also after it was away.
     list.set_current();
-    let gone = Target { state: Readiness::Terminated, ..started("ahead", HOUR as i64) };
-    list.told(BEGUN + S, update(2, false, vec![gone]));
-    let again = list.told(BEGUN + 9 * S, update(3, false, vec![started("ahead", HOUR as i64)]));
-    assert_eq!(again, [(server_id("ahead"), BEGUN)]);
+    let gone = Target { state: Readiness::Terminated, ..target_started("ahead", HOUR as i64) };
+    list.apply_update(PROCESS_START + S, update(2, false, vec![gone]));
+    let again = list
+        .apply_update(PROCESS_START + 9 * S, update(3, false, vec![target_started("ahead", HOUR as i64)]));
+    assert_eq!(again, [(server_id("ahead"), PROCESS_START)]);
 }
 
 #[test]
-fn what_discovery_stamps_never_makes_a_number_overflow() {
-    let mut list = list(0);
+fn extreme_boot_timestamps_do_not_overflow() {
+    let mut list = endpoint_list(0);
     list.set_current();
     for (rev, boot_ms) in [0.0, 1.0, -5.0, f64::MAX, f64::INFINITY, f64::NAN].into_iter().enumerate() {
-        let target = Target { boot_ms, ..started("w", 0) };
-        let told = list.told(BEGUN + S, update(rev as u64 + 1, false, vec![target]));
-        assert!(told[0].1 <= BEGUN + S, "{boot_ms}: {told:?}");
+        let target = Target { boot_ms, ..target_started("w", 0) };
+        let members = list.apply_update(PROCESS_START + S, update(rev as u64 + 1, false, vec![target]));
+        assert!(members[0].1 <= PROCESS_START + S, "{boot_ms}: {members:?}");
     }
     // A stamp of the far future moves nobody else's age.
-    let told = list.told(BEGUN + 9 * S, update(9, false, vec![started("x", 8 * S as i64)]));
-    assert_eq!(told, [(server_id("x"), BEGUN + 8 * S)]);
+    let members =
+        list.apply_update(PROCESS_START + 9 * S, update(9, false, vec![target_started("x", 8 * S as i64)]));
+    assert_eq!(members, [(server_id("x"), PROCESS_START + 8 * S)]);
 }
 
 #[test]
-fn a_backend_that_was_put_back_is_cold_for_one_slow_start_whatever_was_done_to_the_clock() {
+fn backend_put_back_in_service_is_cold_for_one_slow_start_at_any_wall_clock_offset() {
     let put_back = |stamp: UnixMicros| AdministrativeDrains {
         put_back: BTreeMap::from([("w".to_owned(), stamp)]),
         ..AdministrativeDrains::default()
     };
-    for step in STEPS {
+    for offset in WALL_CLOCK_OFFSETS {
         // Put back a second before this process began, by a process whose clock was right.
-        let mut list = list(step);
-        let stamp = UnixMicros(DISCOVERY - S);
-        list.set_drains(BEGUN, put_back(stamp));
-        let target = Target { boot_ms: 0.0, ..started("w", 0) };
-        let told = list.told(BEGUN + S, update(1, true, vec![target.clone()]));
-        assert_eq!(told, [(server_id("w"), BEGUN)], "wall clock ahead by {step} us");
+        let mut list = endpoint_list(offset);
+        let stamp = UnixMicros(DISCOVERY_TIME_AT_START - S);
+        list.set_drains(PROCESS_START, put_back(stamp));
+        let target = Target { boot_ms: 0.0, ..target_started("w", 0) };
+        let members = list.apply_update(PROCESS_START + S, update(1, true, vec![target.clone()]));
+        assert_eq!(members, [(server_id("w"), PROCESS_START)], "wall clock ahead by {offset} us");
         // The file is read over and over: it is put back no later for that.
-        list.set_drains(BEGUN + 2 * S, put_back(stamp));
-        let told = list.told(BEGUN + 3 * S, update(2, false, vec![target.clone()]));
-        assert_eq!(told, [(server_id("w"), BEGUN)]);
+        list.set_drains(PROCESS_START + 2 * S, put_back(stamp));
+        let members = list.apply_update(PROCESS_START + 3 * S, update(2, false, vec![target.clone()]));
+        assert_eq!(members, [(server_id("w"), PROCESS_START)]);
         // Put back once more: another stamp.
-        list.set_drains(BEGUN + 9 * S, put_back(UnixMicros(DISCOVERY + 9 * S)));
-        let told = list.told(BEGUN + 9 * S, update(3, false, vec![target]));
-        assert_eq!(told, [(server_id("w"), BEGUN + 9 * S)]);
+        list.set_drains(PROCESS_START + 9 * S, put_back(UnixMicros(DISCOVERY_TIME_AT_START + 9 * S)));
+        let members = list.apply_update(PROCESS_START + 9 * S, update(3, false, vec![target]));
+        assert_eq!(members, [(server_id("w"), PROCESS_START + 9 * S)]);
     }
-    // Longer ago than any step and a slow start: warm.
-    let mut list = list(0);
-    let stamp = UnixMicros(DISCOVERY - MOST_WALL_STEP - SLOW_START);
-    list.set_drains(BEGUN, put_back(stamp));
-    let target = Target { boot_ms: 0.0, ..started("w", 0) };
-    assert_eq!(list.told(BEGUN, update(1, true, vec![target])), [(server_id("w"), 0)]);
+    // Longer ago than any offset and a slow start: warm.
+    let mut list = endpoint_list(0);
+    let stamp = UnixMicros(DISCOVERY_TIME_AT_START - MOST_WALL_STEP - SLOW_START);
+    list.set_drains(PROCESS_START, put_back(stamp));
+    let target = Target { boot_ms: 0.0, ..target_started("w", 0) };
+    assert_eq!(list.apply_update(PROCESS_START, update(1, true, vec![target])), [(server_id("w"), 0)]);
 }
--- a/proxy/tests/counter_names.rs
+++ b/proxy/tests/counter_names.rs
@@ -2,7 +2,7 @@
 
 use notchdoor_proxy::state::metrics::counters::Counters;
 
-const NAMES: &str = "taken rejected served refused failed left sent attempts accepted opened reused registry_updates \
+const COUNTER_NAMES: &str = "taken rejected served refused failed left sent attempts accepted opened reused registry_updates \
     watches accept_errors ending_served ending_missed ending_absent ending_errored ending_turned_away \
     ending_connect_refused ending_connect_timed_out ending_broken_unsent ending_broken_sent ending_garbled \
     ending_no_room ending_timed_out_sent ending_timed_out_unsent ending_cancelled ending_not_sent ending_client_left \
@@ -10,7 +10,7 @@
     ending_registry_broken ending_registry_silent";
 
 #[test]
-fn counters_keep_their_names_and_their_order() {
+fn counter_names_and_order_are_unchanged() {
     let names: Vec<String> = Counters::new(1).named().into_iter().map(|(name, _)| name).collect();
-    assert_eq!(names.join(" "), NAMES);
+    assert_eq!(names.join(" "), COUNTER_NAMES);
 }
--- a/proxy/tests/session_end.rs
+++ b/proxy/tests/session_end.rs
@@ -7,42 +7,44 @@
 
 const GET: &[&[u8]] = &[b"OBJ.GET", b"k", b"i", b"c=read,t=a,d=480"];
 
-/// Takes what has come, making room for a value that passes through: the places of the commands.
-fn places(session: &mut ClientSession) -> Vec<u64> {
-    let mut places = Vec::new();
+/// Takes what has come, making room for a value that passes through: the sequences of the commands.
+fn read_events(session: &mut ClientSession) -> Vec<u64> {
+    let mut sequences = Vec::new();
     loop {
         if let Some(upload) = session.incoming() {
             while let notchdoor_proxy::wire::streamed_value::NextChunk::Bytes(_) = upload.next() {}
         }
         match session.next_event() {
-            Some(SessionEvent::Command(place, _) | SessionEvent::Ping(place)) => places.push(place),
+            Some(SessionEvent::Command(sequence, _) | SessionEvent::Ping(sequence)) => {
+                sequences.push(sequence)
+            }
             None if session.incoming().is_some_and(|upload| upload.room() == 0) => {}
-            None => return places,
+            None => return sequences,
         }
     }
 }
 
 /// Feeds a session so many bytes, has it finish, and goes on reading as it allows; how many bytes it read, and how many
 /// commands it took.
-fn finish_after(bytes: &[u8], at: usize) -> (usize, usize) {
+fn finish_after_prefix(bytes: &[u8], prefix_len: usize) -> (usize, usize) {
     let mut session = ClientSession::default();
-    session.feed(&bytes[..at]);
-    let mut taken = places(&mut session).len();
+    session.feed(&bytes[..prefix_len]);
+    let mut taken = read_events(&mut session).len();
     session.finish();
-    let mut read = at;
+    let mut read = prefix_len;
     while session.reads() && read < bytes.len() {
-        let most = session.may_read().min(bytes.len() - read);
-        assert!(most > 0, "it would wait for nothing");
-        session.feed(&bytes[read..read + most]);
-        read += most;
-        taken += places(&mut session).len();
+        let allowed = session.may_read().min(bytes.len() - read);
+        assert!(allowed > 0, "it would wait for nothing");
+        session.feed(&bytes[read..read + allowed]);
+        read += allowed;
+        taken += read_events(&mut session).len();
     }
     assert_eq!(session.replies().pending(), taken);
     (read, taken)
 }
 
 #[test]
-fn no_byte_beyond_the_command_that_has_begun_is_read() {
+fn finished_session_reads_to_the_end_of_the_current_command_only() {
     let mut bytes = Vec::new();
     let mut ends = vec![0];
     let value = vec![b'v'; 300];
@@ -51,33 +53,37 @@
         write_command(&mut bytes, words);
         ends.push(bytes.len());
     }
-    for at in 0..=bytes.len() {
-        let commands = ends.iter().position(|end| *end >= at).expect("within the bytes");
-        assert_eq!(finish_after(&bytes, at), (ends[commands], commands), "after {at} bytes");
+    for prefix_len in 0..=bytes.len() {
+        let commands = ends.iter().position(|end| *end >= prefix_len).expect("within the bytes");
+        assert_eq!(
+            finish_after_prefix(&bytes, prefix_len),
+            (ends[commands], commands),
+            "after {prefix_len} bytes"
+        );
     }
 }
 
 #[test]
-fn a_large_value_that_has_begun_comes_in_to_its_last_byte_and_no_further() {
+fn finished_session_reads_a_streamed_value_to_its_end_only() {
     let value = vec![b'v'; MAX_VALUE + 1000];
     let mut bytes = Vec::new();
     write_command(&mut bytes, &[b"OBJ.SET", b"k", b"i", b"c=put,t=a,d=480", &value]);
     let end = bytes.len();
     write_command(&mut bytes, GET);
-    for at in [1, 40, 100, 1_000, MAX_VALUE + 200, end - 2, end - 1] {
-        assert_eq!(finish_after(&bytes, at), (end, 1), "after {at} bytes");
+    for prefix_len in [1, 40, 100, 1_000, MAX_VALUE + 200, end - 2, end - 1] {
+        assert_eq!(finish_after_prefix(&bytes, prefix_len), (end, 1), "after {prefix_len} bytes");
     }
 }
 
 #[test]
-fn the_last_refusal_answers_all_that_was_read_and_reads_nothing_more() {
+fn refuse_rest_answers_every_pending_command_and_stops_reading() {
     let mut bytes = Vec::new();
     for _ in 0..3 {
         write_command(&mut bytes, GET);
     }
-    let half = bytes.len() - 5;
+    let partial_len = bytes.len() - 5;
     let mut session = ClientSession::default();
-    session.feed(&bytes[..half]);
+    session.feed(&bytes[..partial_len]);
     assert!(session.next_event().is_some());
     session.answer(0, Answer::Served(b"v".to_vec()));
     // One is with the proxy's driver, the next waits in the session, the last is half there.
