--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -180,13 +180,13 @@
     let with = set(breaks(0), Some(&format!("{READS}concurrency = 5\n")));
     with.proxy.logged("policy: 2 routes, 0 budgets");
     with.proxy.reload_policy(&format!("{READS}concurrency = 0\nattempts = 9\n"));
-    with.proxy.logged("configuration not taken, the old one stays");
+    with.proxy.logged("configuration rejected, keeping the current one");
     with.proxy.logged(".toml:4:15: route.r.concurrency: 0 is out of range; 1 to 100000 is allowed");
     with.proxy.logged(".toml:5:12: route.r.attempts: 9 is out of range; 1 to 3 is allowed");
     assert_eq!(read(&with, "id1", 1_000).0, bulk("id1"));
     // `total` over at once: a new request goes by the new file.
     with.proxy.reload_policy(&format!("room = 1\n{READS}keep_free = 0.9\nretry_after = '30ms'\n"));
-    with.proxy.logged("policy: read again, 2 routes");
+    with.proxy.logged("policy: reloaded, 2 routes");
     assert_eq!(read(&with, "id2", 1_000).0, Value::Error(b"BUSY 30".to_vec()));
 }
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,14 +1,14 @@
-//! The notchdoor proxy: real sockets round the decision module.
+//! The notchdoor proxy: connects the router to real sockets.
 //!
-//! - [`wire`] holds what is spoken: state machines that are fed bytes, and the thin driver with the sockets.
-//! - [`state`] holds what is kept: discovery's list, connection pools, timers and counters.
-//! - [`lifecycle`] holds start and stop: configuration, logger, clock, signals.
-//! - [`group`] holds the lease group on sockets: members, what is asked of them, a proxy's tasks for the fleet.
-//! - [`replication`] holds this process's replica node: its store, its links to other nodes, its client of the group.
-//! - [`negative_cache`] holds what is asked of and told to the shards of known-missing keys on the way to the origin.
-//! - [`net`] makes sockets, and tells whose fault it is where that fails.
-//! - [`outcome`] names the ways in which attempts, client connections and watches end.
-//! - [`proxy`] takes events to the module and its actions back, and knows no protocol and no socket.
+//! - [`wire`]: protocol state machines without I/O, and the driver that connects them to sockets.
+//! - [`state`]: the endpoint list, connection pools, timers, counters and the hot-restart state.
+//! - [`lifecycle`]: configuration, logging, clock, signals, and startup and shutdown.
+//! - [`group`]: lease group members on sockets, their clients, and the fleet tasks of a proxy.
+//! - [`replication`]: the replica node of this process, with its store, links and lease group client.
+//! - [`negative_cache`]: queries and updates to the shards of known-missing keys around origin fetches.
+//! - [`net`]: creates sockets and classifies the errors of doing so.
+//! - [`outcome`]: how attempts, client connections and discovery watches end.
+//! - [`proxy`]: passes events to the router and its actions to the driver, without protocols or sockets.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/proxy/src/lifecycle/clock.rs
+++ b/proxy/src/lifecycle/clock.rs
@@ -1,18 +1,18 @@
-//! The process's clock: monotonic time from an origin of its own.
+//! The monotonic clock of the process.
 //!
-//! The wall clock is read once, at the start, and for three things only: to read what others stamped with Unix time
-//! (`boot_ms`, the hot-restart file), to stamp that file, and to show times to operators. Nothing here or elsewhere
-//! measures a span with it: it may be off when the process begins, and may be set by an hour at any moment.
+//! The wall clock is read once, at startup, to convert to and from Unix time: for timestamps written by others
+//! (`boot_ms`, the hot-restart file), for timestamps in that file, and for times shown to operators. Durations are never
+//! measured with the wall clock, because it may be wrong at startup and may be set at any time.
 
 use crate::state::time::{ClockReading, UnixMicros};
 use notchdoor::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the monotonic clock shows at the start: longer than any span that settings can name (some thirty years), so
-/// that a moment so long before the start is still one, and so far from Unix time that mixing the two shows at once.
+/// The reading of the monotonic clock at startup, in microseconds. It exceeds every configurable duration, so that
+/// subtracting one cannot underflow, and differs from Unix time enough to expose code that mixes the two clocks.
 const START_READING: Micros = 1 << 50;
 
-/// A clock that never goes back.
+/// A clock that never runs backwards, with the wall clock's reading at startup.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall_at_start: UnixMicros,
@@ -20,35 +20,35 @@
 }
 
 impl Clock {
-    /// Starts the clock beside the system's wall clock.
+    /// Starts the clock and reads the system's wall clock.
     pub fn start() -> Self {
-        // The one place that reads the wall clock for anything but the log's own times.
+        // The only read of the wall clock other than for log timestamps.
         #[allow(clippy::disallowed_methods)]
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock::start_at(UnixMicros(unix.as_micros() as u64))
     }
 
-    /// Starts the clock while the wall clock shows this.
+    /// Starts the clock with the given reading of the wall clock.
     pub fn start_at(wall: UnixMicros) -> Self {
         Clock { wall_at_start: wall, start: Instant::now() }
     }
 
-    /// Both clocks as they were at the start.
+    /// The readings of both clocks at startup.
     pub fn reading(&self) -> ClockReading {
         ClockReading { monotonic: START_READING, wall: self.wall_at_start }
     }
 
-    /// The time now.
+    /// The current monotonic time; the value at startup is well above zero.
     pub fn now(&self) -> Micros {
         START_READING + self.start.elapsed().as_micros() as Micros
     }
 
-    /// Unix time now, as the wall clock of the start would show it.
+    /// The current Unix time: the wall clock at startup plus the monotonic time elapsed since.
     pub fn unix(&self) -> UnixMicros {
         self.reading().wall_at(self.now())
     }
 
-    /// A time of this clock as the system's timers have it. What is too far off counts as an hour from now.
+    /// Converts a time of this clock to an [`Instant`]. A time too far in the future for one becomes an hour from now.
     pub fn instant(&self, at: Micros) -> Instant {
         let elapsed = Duration::from_micros(at.saturating_sub(START_READING));
         self.start.checked_add(elapsed).unwrap_or_else(|| Instant::now() + Duration::from_secs(3600))
--- a/proxy/src/lifecycle/config.rs
+++ b/proxy/src/lifecycle/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a proxy: a JSON file, and variables that go before it.
+//! Loads the proxy's configuration from a JSON file and environment variables; the variables take precedence.
 
 use crate::state::endpoints::Update;
 use crate::wire::MAX_VALUE;
@@ -14,14 +14,14 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What is wrong with the configuration, the variables or the files that they name: in one line that names the place, or
-/// one line for each problem of a policy.
+/// The configuration, an environment variable or a file that they refer to is invalid. The message is one line that names
+/// the field, variable or file; a policy error has one line per problem.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No file is named.
+    /// `EDGE_CONFIG` is not set.
     #[error("EDGE_CONFIG: not set")]
     NotSet,
-    /// The configuration cannot be read.
+    /// The configuration file cannot be read.
     #[error("EDGE_CONFIG: cannot read {path}: {source}")]
     Unreadable {
         /// The file.
@@ -29,38 +29,38 @@
         /// Why.
         source: io::Error,
     },
-    /// It is no JSON, or not an object of the fields that a configuration has.
+    /// The file is not JSON or not an object with the required fields.
     #[error("EDGE_CONFIG: {0}")]
     Malformed(serde_json::Error),
-    /// One field of it is wrong.
+    /// A field has an invalid value.
     #[error("EDGE_CONFIG: {path}: {source}")]
     Field {
-        /// Where it stands.
+        /// The path of the field.
         path: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// A setting is out of its bounds; the text names it.
+    /// A setting is out of range; the text names it.
     #[error("EDGE_CONFIG: settings.{0}")]
     Setting(String),
-    /// A field or a variable is no address.
+    /// A field or variable is not an IP address and port.
     #[error("{source_name}: not an address and port: {text:?}")]
     InvalidAddress {
-        /// The field or the variable.
+        /// The name of the field or variable.
         source_name: String,
-        /// What it says.
+        /// The invalid value.
         text: String,
     },
-    /// The seed is no number.
+    /// The seed is not a hexadecimal number.
     #[error("EDGE_CONFIG: seed: not a hex number: {0:?}")]
     InvalidSeed(String),
-    /// Too few descriptors are allowed to serve with.
-    #[error("EDGE_CONFIG: limits.sockets: too few: {0}")]
+    /// `limits.sockets` is below the minimum.
+    #[error("EDGE_CONFIG: limits.sockets: too few: {0}, the minimum is {min}", min = RESERVED_SOCKETS + 16)]
     TooFewSockets(usize),
-    /// Too little memory is allowed to serve with.
-    #[error("EDGE_CONFIG: limits.memory_mb: too little: {0}")]
+    /// `limits.memory_mb` is below the minimum.
+    #[error("EDGE_CONFIG: limits.memory_mb: too little: {0}, the minimum is {MIN_MEMORY_MB}")]
     TooLittleMemory(f64),
-    /// The policy cannot be read.
+    /// The policy file cannot be read.
     #[error("{path}: cannot read the policy: {source}")]
     UnreadablePolicy {
         /// The file.
@@ -68,10 +68,10 @@
         /// Why.
         source: io::Error,
     },
-    /// The policy has problems.
+    /// The policy file is invalid.
     #[error("{}", one_per_line(.0))]
     Policy(Vec<PolicyError>),
-    /// The file of the group's members cannot be read.
+    /// The file with the lease group's members and the fleet tasks cannot be read.
     #[error("{path}: cannot read: {source}")]
     UnreadableTasks {
         /// The file.
@@ -79,7 +79,7 @@
         /// Why.
         source: io::Error,
     },
-    /// The file of the group's members is wrong; the text names the place.
+    /// That file is invalid; the text names the file and the position.
     #[error("{0}")]
     Tasks(String),
 }
@@ -88,51 +88,51 @@
     problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// The platform's limit on sockets; what the file allows beyond it is not used.
+/// Upper bound on `limits.sockets`, set by the platform; a larger configured value is reduced to it.
 const MAX_SOCKETS: usize = 1024;
-/// Descriptors for the two listeners, operators' calls, the hot restart's files, discovery, the poller, signals, the
-/// standard streams and chance.
+/// Descriptors reserved for listeners, admin connections, hot-restart files, discovery, the poller, signals and the
+/// standard streams.
 const RESERVED_SOCKETS: usize = 32;
-/// With less memory than this there would be limits for a few dozen requests only.
+/// Minimum of `limits.memory_mb`; less memory allows only a few dozen concurrent requests.
 const MIN_MEMORY_MB: f64 = 12.0;
 
-/// Where the configuration came from and what it said: what a later reading of the file is held against.
+/// The files that the configuration was loaded from and its fields at startup, with which a reload is compared.
 pub struct Source {
     path: String,
     policy: Option<String>,
     fields: Map<String, Value>,
 }
 
-/// What a later reading of the file comes to.
+/// The result of reloading the configuration.
 #[derive(Debug, PartialEq)]
 pub struct Reload {
-    /// discovery from here on.
+    /// The new address of discovery.
     pub discovery: SocketAddr,
-    /// Fields that differ from those the proxy started with and that only a restart takes up.
+    /// Changed fields that take effect only after a restart.
     pub restart_required: Vec<String>,
-    /// The policy from here on, where there is a file of one.
+    /// The new policy; `None` without a policy file.
     pub policy: Option<Arc<Policy>>,
 }
 
 /// A proxy's configuration.
 pub struct Config {
-    /// The proxy's name.
+    /// The proxy's name, used in log records and the hot-restart state.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Where operators call, if anywhere.
+    /// The address of the admin listener; `None` to disable it.
     pub admin: Option<SocketAddr>,
-    /// The limits on what is held.
+    /// Limits on sockets, memory and requests for all processes together.
     pub limits: Limits,
-    /// The list as this proxy had it last.
+    /// The last endpoint list known to this proxy, used until discovery sends a newer one.
     pub known_endpoints: Option<Update>,
-    /// The deployment's settings.
+    /// The settings of the deployment.
     pub settings: DeploymentSettings,
-    /// The operators' limits, where there is a file of them.
+    /// The policy; `None` without a policy file.
     pub policy: Option<Arc<Policy>>,
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// What the proxy may hold, however many processes it is.
+/// Resource limits of the proxy, shared by all of its processes that run at the same time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     memory: f64,
@@ -172,29 +172,29 @@
     max_in_flight: usize,
 }
 
-/// One process's part of the limits.
+/// The share of [`Limits`] of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessLimits {
-    /// The most client connections.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// The most connections to backends and the origin.
+    /// Maximum number of connections to backends and the origin.
     pub upstream_connections: usize,
-    /// The most requests that are taken and not answered whole.
+    /// Maximum number of requests without a complete answer.
     pub requests: usize,
-    /// The most bytes of answers that are read at once, beyond one value's size each.
+    /// Maximum total bytes of replies being read beyond the size of one value each.
     pub large_value_bytes: usize,
-    /// The most bytes of commands that are half read, on all client connections together.
+    /// Maximum total bytes of partially read commands on all client connections.
     pub partial_command_bytes: usize,
 }
 
 impl Limits {
-    /// The part of one of so many processes that live at once.
+    /// The share of one process if `processes` run at the same time; 0 counts as 1.
     pub fn per_process(&self, processes: usize) -> ProcessLimits {
         let processes = processes.max(1);
         let sockets = (self.sockets / processes).saturating_sub(RESERVED_SOCKETS).max(16);
         let clients = sockets * 3 / 5;
         let memory = self.memory / processes as f64;
-        // A request may hold a value of the largest size; a third of the memory may go to such.
+        // Each request may buffer a value of the maximum size; one third of the memory is available for values.
         let values = memory / (3 * MAX_VALUE) as f64;
         ProcessLimits {
             client_connections: clients,
@@ -216,7 +216,7 @@
         .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })
 }
 
-/// Reads the operators' limits. The error has a line for each problem.
+/// Loads the policy file, if any. The error has a line for each problem.
 fn load_policy(
     path: Option<&str>,
     settings: &DeploymentSettings,
@@ -229,7 +229,7 @@
     Ok(Some(Arc::new(policy)))
 }
 
-/// Reads a file of the lease group's members and the fleet's tasks.
+/// Loads the file with the lease group's members and the fleet tasks.
 pub fn load_tasks(path: &str) -> Result<TasksConfig, ConfigError> {
     let text = bounded_file::read_text(Path::new(path), bounded_file::MAX_AUTHORED_BYTES)
         .map_err(|source| ConfigError::UnreadableTasks { path: path.to_owned(), source })?;
@@ -241,19 +241,19 @@
 }
 
 impl Source {
-    /// Reads the file again.
+    /// Reloads the configuration and policy files and compares the configuration with the one at startup.
     pub fn reread(&self) -> Result<Reload, ConfigError> {
         let text = read_file(&self.path)?;
         let reload = self.compare(&text)?;
-        // Checked against the settings in force: new ones wait for a restart.
+        // Check the policy against the running settings, because changed settings need a restart.
         let settings = self.fields.get("settings").cloned().unwrap_or_default();
         let running: DeploymentSettings = serde_json::from_value(settings)
             .map_err(|source| ConfigError::Field { path: "settings".to_owned(), source })?;
         Ok(Reload { policy: load_policy(self.policy.as_deref(), &running)?, ..reload })
     }
 
-    /// Holds a later text of the file against the one that the proxy started with. The variables went before
-    /// the file at the start; now `discovery` is what the file says.
+    /// Compares a new text of the file with the fields at startup. Environment variables are ignored here: `discovery`
+    /// is always taken from the file.
     fn compare(&self, text: &[u8]) -> Result<Reload, ConfigError> {
         let discovery = Config::parse(text, |_| None)?.discovery;
         let mut restart_required = Vec::new();
@@ -276,7 +276,7 @@
 }
 
 impl Config {
-    /// Reads the file that `EDGE_CONFIG` names, the variables, and the policy file if there is one.
+    /// Loads the file named by `EDGE_CONFIG`, the environment variables and, if given, the policy file.
     pub fn load(policy_file: Option<String>) -> Result<(Self, Source), ConfigError> {
         let path = std::env::var("EDGE_CONFIG").map_err(|_| ConfigError::NotSet)?;
         let text = read_file(&path)?;
@@ -285,8 +285,8 @@
         Ok((config, Source { path, policy: policy_file, fields: parse_fields(&text)? }))
     }
 
-    /// Takes the file's text; `variable` looks up what goes before it. The error names the field or the
-    /// variable at fault.
+    /// Parses the text of the file. `variable` looks up the environment variables that override its fields. The error
+    /// names the invalid field or variable.
     pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         parse_fields(text)?;
         let mut json = serde_json::Deserializer::from_slice(text);
--- a/proxy/src/lifecycle/config/tests.rs
+++ b/proxy/src/lifecycle/config/tests.rs
@@ -1,4 +1,4 @@
-//! Configuration texts, good and bad, and what a later one changes.
+//! Parsing of valid and invalid configurations, and comparison on reload.
 
 use super::*;
 
@@ -72,7 +72,7 @@
         ("\"n3\"", "\"n4\""),
     ]);
     assert_eq!(changed.unwrap().restart_required, ["name", "limits.memory_mb", "settings.obligations"]);
-    // A half-written file must not take discovery away.
+    // An invalid or truncated file is an error and does not change discovery.
     for (from, to, expected) in [("127.0.0.2:8500", "x", "discovery: not an address"), ("}}}", "}}", "EOF")] {
         let error = compare_edited(&[(from, to)]).unwrap_err().to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{error}");
--- a/proxy/src/lifecycle/log.rs
+++ b/proxy/src/lifecycle/log.rs
@@ -1,7 +1,6 @@
-//! The log: one line a record on standard error, as text or as JSON.
+//! Writes log records to standard error, one line per record, as text or JSON.
 //!
-//! A record's text is what docs/oncall.md lists. As JSON, the figures within it stand beside it under names of
-//! their own, from the record's key-values.
+//! docs/oncall.md lists the messages. A JSON record also contains the record's key-value pairs as separate fields.
 
 use env_logger::{Builder, Target, WriteStyle};
 use log::kv::{Error, Key, Value, VisitSource};
@@ -11,19 +10,19 @@
 use std::str::FromStr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How records are written.
+/// The output format of log records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Unix time in seconds, level, the proxy's name, text.
+    /// Unix time in seconds, level, proxy name and message.
     #[default]
     Text,
-    /// One JSON object a line: `ts`, `level`, `name`, `msg`, and the record's key-values.
+    /// One JSON object per line: `ts`, `level`, `name`, `msg` and the record's key-value pairs.
     Json,
 }
 
-/// A text that names no format of the log.
+/// The given text is not the name of a log format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no log format: text and json are")]
+#[error("unknown log format '{0}': expected text or json")]
 pub struct UnknownFormat(String);
 
 impl FromStr for Format {
@@ -52,10 +51,10 @@
     }
 }
 
-/// A record as one JSON object. The names that every record has go before a key-value's of the same name.
+/// Converts a record to a JSON object. The common fields replace key-value pairs of the same name.
 fn to_json(record: &Record<'_>, name: &str, seconds: f64) -> Json {
     let mut fields = Map::new();
-    // Visiting only fails where the visitor does, and this one does not.
+    // Visiting fails only if the visitor fails, and `FieldCollector` never does.
     let _ = record.key_values().visit(&mut FieldCollector(&mut fields));
     fields.insert("ts".to_owned(), Json::from(seconds));
     fields.insert("level".to_owned(), Json::from(record.level().as_str()));
@@ -64,8 +63,8 @@
     Json::Object(fields)
 }
 
-/// Starts the log for the proxy of this name. `level` is what `--log-level` or `NOTCHDOOR_LOG` says; where it
-/// is no level, `info` is taken and the log says so.
+/// Starts logging for the proxy with the given name. `level` is the value of `--log-level` or `NOTCHDOOR_LOG`; an
+/// invalid level is logged as a warning and `info` is used instead.
 pub fn start(name: &str, format: Format, level: Option<&str>) {
     let parsed = level.map(|l| (l, l.parse::<LevelFilter>()));
     let filter = match parsed {
@@ -74,7 +73,7 @@
     };
     let name = name.to_owned();
     let write_record = move |out: &mut env_logger::fmt::Formatter, record: &Record<'_>| {
-        // The time that a reader of the log sees, and nothing else.
+        // Used only as the timestamp of the log record.
         #[allow(clippy::disallowed_methods)]
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         match format {
@@ -88,7 +87,7 @@
             }
         }
     };
-    // Fails only where a log was started before, and then that one stays.
+    // Fails only if a logger is already installed, which then stays in use.
     let _ = Builder::new()
         .filter_module("notchdoor", filter)
         .target(Target::Stderr)
@@ -96,7 +95,7 @@
         .format(write_record)
         .try_init();
     if let Some((text, Err(_))) = parsed {
-        log::warn!("log: '{text}' is no level: error, warn, info, debug and off are; info is taken");
+        log::warn!("log: unknown level '{text}': expected error, warn, info, debug or off; using info");
     }
 }
 
--- a/proxy/src/lifecycle/log/tests.rs
+++ b/proxy/src/lifecycle/log/tests.rs
@@ -1,4 +1,4 @@
-//! A record as JSON.
+//! Conversion of log records to JSON.
 
 use super::*;
 
@@ -15,7 +15,7 @@
         12.5,
     );
     let text = json.to_string();
-    assert!(!text.contains('\n'), "one line a record: {text}");
+    assert!(!text.contains('\n'), "the record spans several lines: {text}");
     assert_eq!(
         json,
         serde_json::json!({"ts": 12.5, "level": "INFO", "name": "n3", "version": 41, "all": true,
--- a/proxy/src/lifecycle/mod.rs
+++ b/proxy/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop.
+//! Startup and shutdown of the proxy process: configuration, logging, clock and signals.
 
 pub mod clock;
 pub mod config;
--- a/proxy/src/lifecycle/serve.rs
+++ b/proxy/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! The proxy from its start to its stop.
+//! Runs the proxy process from startup to exit.
 
 use super::config::{self, Config, ConfigError};
 use super::log;
@@ -15,41 +15,42 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why the proxy cannot serve.
+/// Why the proxy could not start.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The system gives no signals.
+    /// The signal handlers could not be installed.
     #[error("signals: {0}")]
     Signals(io::Error),
-    /// The configuration, a variable or a file that they name is wrong.
+    /// The configuration, an environment variable or a file that they refer to is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An address cannot be listened on.
+    /// The proxy could not listen on an address.
     #[error("{variable}: cannot listen on {address}: {source}")]
     Listen {
-        /// The variable that goes before the configuration's address.
+        /// The environment variable that overrides the address in the configuration.
         variable: &'static str,
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// The store of what this process holds for others cannot be opened or served.
+    /// The replica node could not open its store or start serving.
     #[error("{0}")]
     Replication(String),
 }
 
-/// Serves until a signal asks for a stop; `policy` is the operators' file of limits. The error names the field or
-/// the variable at fault, in one line, or each of a policy file's problems in one.
+/// Runs the proxy until a signal stops it.
 ///
-/// `coord` is a file of the lease group's members and of the tasks to do for the fleet; none by default.
+/// `policy` is the path of the policy file. `coord` is the path of the file with the lease group's members and the fleet
+/// tasks; without it, the proxy runs no fleet tasks and holds no replicas. The error names the invalid field or variable
+/// in one line; each problem of a policy file has its own line.
 pub fn serve(
     format: log::Format,
     level: Option<&str>,
     policy: Option<String>,
     coord: Option<String>,
 ) -> Result<(), ServeError> {
-    // Before anything else: a signal that nothing waits for ends the process.
+    // First, because a signal without a handler kills the process.
     let signals = Signals::new().map_err(ServeError::Signals)?;
     let (config, source) = Config::load(policy)?;
     let fleet = coord.as_deref().map(config::load_tasks).transpose()?;
@@ -66,11 +67,13 @@
     {
         Ok((hot_restart, None)) => Some(hot_restart),
         Ok((hot_restart, Some(error))) => {
-            ::log::error!("hot restart: the state is of no use, no backend is out by hand: {error}");
+            ::log::error!(
+                "hot restart: invalid stored state, starting without administrative drains: {error}"
+            );
             Some(hot_restart)
         }
         Err(error) => {
-            ::log::error!("hot restart: none, an upgrade will not know of this process: {error}");
+            ::log::error!("hot restart: unavailable, other processes will not find this one: {error}");
             None
         }
     };
@@ -81,7 +84,7 @@
     let (listen, discovery) = (config.listen, config.discovery);
     info!(listen:%, discovery:%; "started, listening on {listen}, discovery at {discovery}");
     if let Some(admin) = config.admin {
-        info!(admin:%; "operators call at {admin}");
+        info!(admin:%; "admin listener on {admin}");
     }
     let executors = Executors::default();
     let missing = match fleet.as_ref().and_then(|f| f.copies.clone().map(|c| (c, f))) {
@@ -98,14 +101,14 @@
     let runtime =
         Runtime::start(config, Sockets { clients, operators }, hot_restart, fleet, executors.clone());
     let operators = executors.operators.run(future::pending());
-    // A task among the others: what the executor is run for gets a turn only after some hundred of their steps, and
-    // under a flood of commands these take a tenth of a second.
+    // Spawned as a task because the future passed to `run` is polled only after several hundred task steps, which
+    // delays it by about 0.1 s under load.
     let stopped = {
         let runtime = Rc::clone(&runtime);
         executors.clients.spawn(async move { signals::until_stopped(&runtime, &source, signals).await })
     };
     let clients = executors.clients.run(stopped);
-    // Operators' calls first: each turn of the clients' executor ends after some hundred steps.
+    // Poll the admin executor first; each poll of the clients' executor ends after several hundred steps.
     async_io::block_on(future::or(operators, clients));
     runtime.report("counters at exit");
     Ok(())
--- a/proxy/src/lifecycle/signals.rs
+++ b/proxy/src/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT stop the proxy in order; SIGHUP reads the configuration again; SIGUSR1 prints the
+//! Signal handling: SIGTERM and SIGINT stop the proxy gracefully, SIGHUP reloads the configuration, SIGUSR1 logs the
 //! counters.
 
 use super::config::{Reload, Source};
@@ -13,53 +13,52 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A signal that the proxy heeds.
+/// A signal that the proxy handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Stop in order.
+    /// SIGTERM: stop gracefully.
     Term,
-    /// Stop in order, as for `Term`.
+    /// SIGINT: stop gracefully, as for `Term`.
     Int,
-    /// Write the counters to the log.
+    /// SIGUSR1: write the counters to the log.
     Usr1,
-    /// Read the configuration again.
+    /// SIGHUP: reload the configuration.
     Hup,
 }
 
-/// How often the flags are looked at where the pipe cannot be read.
+/// Interval at which the flags are polled while the pipe cannot be read.
 const PIPE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The signals as they come. Each sets its flag and writes a byte to a pipe that the executor reads: a pipe,
-/// not a pair of Unix sockets, for platforms that take TCP and UDP alone. Two of one kind before the first is
-/// read are one.
+/// Receives signals. Each signal sets its flag and writes a byte to a pipe that wakes the executor. A pipe also works
+/// on platforms that allow only TCP and UDP sockets. Repeated signals of one kind are merged until the first is returned.
 pub struct Signals {
     wake: Async<PipeReader>,
     flags: [(Signal, Arc<AtomicBool>); 4],
 }
 
 impl Signals {
-    /// Takes the four signals over from their defaults.
+    /// Installs handlers that replace the default actions of the four signals.
     pub fn new() -> io::Result<Self> {
         let (reader, writer) = io::pipe()?;
         let flags =
             [(Signal::Term, SIGTERM), (Signal::Int, SIGINT), (Signal::Usr1, SIGUSR1), (Signal::Hup, SIGHUP)]
                 .map(|(signal, number)| (signal, number, Arc::new(AtomicBool::new(false))));
         for (_, number, flag) in &flags {
-            // The flag first: a byte read finds it set.
+            // Register the flag first, so that it is set when the byte is read.
             signal_hook::flag::register(*number, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(*number, writer.try_clone()?)?;
         }
         Ok(Self { wake: Async::new(reader)?, flags: flags.map(|(signal, _, flag)| (signal, flag)) })
     }
 
-    /// The next signal; one to stop comes before the others that came with it.
+    /// Waits for the next signal. Of several pending signals, SIGTERM and SIGINT are returned first.
     pub async fn next(&mut self) -> Signal {
         next_signal(&self.flags, &mut &self.wake).await
     }
 }
 
-/// The next signal whose flag is set, woken by `wake`. A pipe that cannot be read ends nothing: the flags are set all the
-/// same, and are looked at now and then.
+/// Waits for a signal whose flag is set; a byte on `wake` causes another check. If the pipe cannot be read, polls the
+/// flags instead.
 async fn next_signal(flags: &[(Signal, Arc<AtomicBool>)], wake: &mut (impl AsyncRead + Unpin)) -> Signal {
     loop {
         if let Some((signal, _)) = flags.iter().find(|(_, flag)| flag.swap(false, Ordering::SeqCst)) {
@@ -69,27 +68,28 @@
             Ok(n) if n > 0 => {}
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             failed => {
-                log::debug!("signals: the pipe cannot be read: {failed:?}");
+                log::debug!("signals: cannot read the wake-up pipe, polling instead: {failed:?}");
                 Timer::after(PIPE_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// New connections keep coming for up to 0.4 s after SIGTERM, and then the listener is closed.
+/// How long the listener stays open after the signal: new connections arrive for up to 0.4 s after SIGTERM.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(450);
-/// Connections that are still owed an answer then are not read any further: the longest of the requests that were
-/// taken before has its time until the stop is over.
+/// How long new commands are read after the signal. Only the rest of a command already begun is read afterwards, so
+/// that a request with the longest deadline can still finish before the stop timeout.
 const READ_AFTER_SIGNAL: Duration = Duration::from_millis(550);
-/// SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM.
+/// Time allowed for a stop beyond the longest deadline. SIGKILL follows SIGTERM after that deadline plus 0.7 s.
 const STOP_TIME_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// What is still open so long before the stop has to be over is answered as it is, and the answers go out.
+/// Time before the stop timeout at which all open requests get their final answers, so that these can be sent.
 const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(30);
 
-/// The longest deadline that SIGKILL waits for, and what is taken where the settings name none.
+/// The longest deadline that SIGKILL waits for; also the default if the settings have no deadline.
 const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
 
-/// How long a stop may take before it has to exit with what is still open.
+/// How long a stop may take before the process exits with requests still open. A `longest_deadline` of 0 means that
+/// none is set.
 fn stop_timeout(longest_deadline: Micros) -> Duration {
     let longest = match longest_deadline {
         0 => MAX_STOP_DEADLINE,
@@ -98,7 +98,7 @@
     longest + STOP_TIME_AFTER_DEADLINE
 }
 
-/// Does what each signal asks for, and returns at the first that asks for a stop.
+/// Handles signals until SIGTERM or SIGINT is received.
 async fn handle_signals(runtime: &Rc<Runtime>, source: &Source, signals: &mut Signals) {
     loop {
         match signals.next().await {
@@ -109,35 +109,35 @@
     }
 }
 
-/// Takes up what a new configuration changes. Requests and connections stay as they are, and a file that is
-/// wrong changes nothing.
+/// Reloads the configuration and policy and applies the changes that need no restart. Open requests and connections are
+/// unaffected. If a file is invalid, nothing changes.
 fn reload(runtime: &Rc<Runtime>, source: &Source) {
     match source.reread() {
         Ok(Reload { discovery, restart_required, policy }) => {
-            log::info!(discovery:%; "configuration read again, discovery at {discovery}");
+            log::info!(discovery:%; "configuration reloaded, discovery at {discovery}");
             if !restart_required.is_empty() {
                 log::warn!("configuration: a restart is needed for {}", restart_required.join(", "));
             }
             let routes = policy.as_ref().map(|p| p.routes.len());
             if !runtime.reload(policy) {
-                log::warn!("policy: a restart is needed to begin with one, or to go on without");
+                log::warn!("policy: a restart is needed to add or remove the policy");
             } else if let Some(routes) = routes {
-                log::info!(routes; "policy: read again, {routes} routes");
+                log::info!(routes; "policy: reloaded, {routes} routes");
             }
             runtime.move_discovery(discovery);
         }
         Err(error) => {
             for line in error.to_string().lines() {
-                log::error!("configuration not taken, the old one stays: {line}");
+                log::error!("configuration rejected, keeping the current one: {line}");
             }
         }
     }
 }
 
-/// Waits for a signal to stop, and then until all that was taken is answered.
+/// Handles signals until one requests a stop, then waits until all requests are answered or the stop timeout expires.
 pub async fn until_stopped(runtime: &Rc<Runtime>, source: &Source, mut signals: Signals) {
     handle_signals(runtime, source, &mut signals).await;
-    // discovery may move during a stop too, and a second signal to stop changes nothing.
+    // Keep reloading during the stop. Further stop signals have no effect.
     let keep_handling_signals = async {
         loop {
             handle_signals(runtime, source, &mut signals).await;
@@ -150,7 +150,7 @@
     let started = Instant::now();
     let limit = started + stop_timeout(runtime.network.max_deadline);
     runtime.begin_stop();
-    // With a successor on the same address, new connections go there once the listener is closed.
+    // If a successor listens on the same address, it accepts new connections once this listener is closed.
     if !runtime.has_successor() {
         Timer::after(ACCEPT_AFTER_SIGNAL).await;
     }
--- a/proxy/src/lifecycle/signals/tests.rs
+++ b/proxy/src/lifecycle/signals/tests.rs
@@ -1,4 +1,4 @@
-//! Signals through their pipe, and how long a stop may take.
+//! Signal delivery through the pipe, and the stop timeout.
 
 use super::*;
 use std::collections::VecDeque;
@@ -18,13 +18,13 @@
 
 #[test]
 fn stop_timeout_is_shorter_than_the_time_before_sigkill() {
-    // A class may have a long deadline: SIGKILL comes 3.7 s after SIGTERM all the same.
+    // SIGKILL follows SIGTERM after at most 3.7 s, even if a class has a longer deadline.
     for (deadline, millis) in [(2_000_000, 2_600), (60_000_000, 3_600), (0, 3_600)] {
         assert_eq!(stop_timeout(deadline), Duration::from_millis(millis));
     }
 }
 
-/// A pipe whose reads fail in these ways, one after the other; a signal comes behind them.
+/// A pipe whose reads return `failures` in order; the next read sets the signal's flag and succeeds.
 struct FailingPipe {
     failures: VecDeque<io::Result<usize>>,
     flag: Arc<AtomicBool>,
--- a/proxy/src/net/calls.rs
+++ b/proxy/src/net/calls.rs
@@ -1,29 +1,29 @@
-//! The system calls themselves. Tests have them fail as they choose.
+//! Wraps the socket system calls, so that tests can inject failures.
 
 use super::SocketCall;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Opens a socket that does not block.
+/// Creates a non-blocking TCP socket for the address family of `address`.
 pub(super) fn socket(address: SocketAddr) -> io::Result<Socket> {
     injected_failure(SocketCall::Socket)?;
     Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))
 }
 
-/// Begins to connect. `EINPROGRESS` is the usual end of it.
+/// Starts connecting. On a non-blocking socket this usually fails with `EINPROGRESS`.
 pub(super) fn connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     injected_failure(SocketCall::Connect)?;
     socket.connect(&address.into())
 }
 
-/// Takes a connection out of the queue.
+/// Accepts a connection from the listener's queue.
 pub(super) fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     injected_failure(SocketCall::Accept)?;
     listener.accept().map(|(stream, _)| stream)
 }
 
-/// Has small writes sent at once.
+/// Sets `TCP_NODELAY`, so that small writes are sent without delay.
 pub(super) fn set_nodelay(stream: &TcpStream) -> io::Result<()> {
     injected_failure(SocketCall::SetNoDelay)?;
     stream.set_nodelay(true)
@@ -39,7 +39,7 @@
     injection::next(call).map_or(Ok(()), |error| Err(error.into()))
 }
 
-/// Failures that a test has its own thread's calls end with.
+/// Failures injected by a test into the calls of its own thread.
 #[cfg(test)]
 pub(crate) mod injection {
     use super::SocketCall;
@@ -51,18 +51,18 @@
         static FAILURES: RefCell<HashMap<SocketCall, VecDeque<Errno>>> = RefCell::default();
     }
 
-    /// Has the next so many calls of this kind fail.
+    /// Makes the next `times` calls of this kind fail with `error`.
     pub(crate) fn fail(call: SocketCall, error: Errno, times: usize) {
         let failures = std::iter::repeat_n(error, times);
         FAILURES.with_borrow_mut(|all| all.entry(call).or_default().extend(failures));
     }
 
-    /// How many calls of this kind are still to fail.
+    /// Returns the number of injected failures left for this kind of call.
     pub(crate) fn left(call: SocketCall) -> usize {
         FAILURES.with_borrow(|all| all.get(&call).map_or(0, VecDeque::len))
     }
 
-    /// Has nothing fail any more.
+    /// Removes all injected failures.
     pub(crate) fn clear() {
         FAILURES.with_borrow_mut(HashMap::clear);
     }
--- a/proxy/src/net/connect.rs
+++ b/proxy/src/net/connect.rs
@@ -1,4 +1,4 @@
-//! Connects to a peer.
+//! Establishes outgoing TCP connections.
 
 use super::fault::{connect_fault, lacks_descriptor};
 use super::{calls, Fault, SocketCall};
@@ -8,29 +8,29 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection could not be made.
+/// A connection could not be established.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", call.name())]
 pub struct ConnectError {
     /// The call that failed.
     pub call: SocketCall,
-    /// Its error.
+    /// The error that it returned.
     pub source: io::Error,
 }
 
 impl ConnectError {
-    /// Whose fault it is.
+    /// Classifies the error by its cause.
     pub fn fault(&self) -> Fault {
         connect_fault(self.call, &self.source)
     }
 
-    /// Whether the process or the system has no descriptor left: closing an idle connection helps.
+    /// Returns whether the process or system is out of file descriptors, so that closing an idle connection may help.
     pub fn lacks_descriptor(&self) -> bool {
         lacks_descriptor(&self.source)
     }
 }
 
-/// Connects to an address. It waits for as long as the system does: the caller bounds that.
+/// Connects to an address. There is no timeout other than the system's; the caller must set one.
 pub async fn connect(address: SocketAddr) -> Result<Async<TcpStream>, ConnectError> {
     let connect_error = |call| move |source| ConnectError { call, source };
     let socket = calls::socket(address).map_err(connect_error(SocketCall::Socket))?;
@@ -46,13 +46,13 @@
     Ok(stream)
 }
 
-/// Begins the handshake.
+/// Starts the TCP handshake, repeating an interrupted call.
 fn start_connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     loop {
         let Err(error) = calls::connect(socket, address) else { return Ok(()) };
         match Errno::from_io_error(&error) {
             Some(Errno::INPROGRESS) => return Ok(()),
-            // Whether an interrupted call goes on by itself is told by the next one: these two say that it does.
+            // The repeated call reports that the interrupted one is still in progress or has succeeded.
             Some(Errno::ALREADY | Errno::ISCONN) => return Ok(()),
             Some(Errno::INTR) => {}
             _ => return Err(error),
@@ -60,8 +60,7 @@
     }
 }
 
-/// Has small writes sent at once. A connection where that fails is used all the same: its writes may come some
-/// milliseconds later, and the bytes are the same.
+/// Sets `TCP_NODELAY`. A failure is only logged, because the connection remains usable with delayed small writes.
 pub(super) fn disable_write_delay(stream: &Async<TcpStream>) {
     if let Err(error) = calls::set_nodelay(stream.get_ref()) {
         log::debug!("socket: small writes may be delayed: {error}");
--- a/proxy/src/net/fault.rs
+++ b/proxy/src/net/fault.rs
@@ -1,25 +1,25 @@
-//! Classifies the errors of the system calls that make sockets.
+//! Classifies the errors of socket system calls by cause.
 
 use rustix::io::Errno;
 use std::io;
 
-/// A system call that makes a socket or makes it ready for use.
+/// A system call that creates a socket or prepares it for use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SocketCall {
-    /// Opening a socket.
+    /// Creating a socket.
     Socket,
-    /// Turning off the delay of small writes (`TCP_NODELAY`).
+    /// Setting `TCP_NODELAY`.
     SetNoDelay,
-    /// Connecting it, up to the end of the handshake.
+    /// Connecting, including the handshake.
     Connect,
     /// Accepting a connection.
     Accept,
-    /// Having the event queue (epoll) watch it.
+    /// Registering the socket with the event queue (epoll).
     Register,
 }
 
 impl SocketCall {
-    /// Its name in the log.
+    /// The name of the call in error messages and the log.
     pub fn name(self) -> &'static str {
         match self {
             SocketCall::Socket => "socket",
@@ -31,26 +31,25 @@
     }
 }
 
-/// Whose fault it is that a connection could not be made.
+/// The cause of a failed connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// This machine lacks something or forbids it.
+    /// This machine is short of a resource or forbids the connection.
     Local,
-    /// Packets do not get to the other side.
+    /// The network path to the peer does not work.
     Path,
-    /// The other side did not take the connection up in its time.
+    /// The peer did not complete the handshake before the system's timeout.
     PeerTimedOut,
-    /// The other side refused or reset the connection.
+    /// The peer refused or reset the connection, or the cause is unknown.
     Peer,
 }
 
-/// Classifies a failure on the way to a connection.
+/// Classifies the error of a call made while connecting.
 ///
-/// An error that no case names counts as the peer's: an endpoint that fails for an unknown reason again and again has to
-/// be avoided, whatever the reason.
+/// Unknown errors of `connect` count as [`Fault::Peer`], so that an endpoint with repeated failures is avoided.
 pub fn connect_fault(call: SocketCall, error: &io::Error) -> Fault {
     match call {
-        // Nothing has been sent to anybody yet.
+        // No packet has been sent.
         SocketCall::Socket | SocketCall::SetNoDelay | SocketCall::Register | SocketCall::Accept => {
             Fault::Local
         }
@@ -60,11 +59,11 @@
                 | Errno::NFILE
                 | Errno::NOBUFS
                 | Errno::NOMEM
-                // No local port is left, or no local address to send from.
+                // No free local port or no usable local address.
                 | Errno::ADDRNOTAVAIL
                 | Errno::ADDRINUSE
                 | Errno::AGAIN
-                // A packet filter of this machine forbids the packet.
+                // A local packet filter rejected the packet.
                 | Errno::ACCESS
                 | Errno::PERM
                 | Errno::AFNOSUPPORT
@@ -79,26 +78,26 @@
     }
 }
 
-/// Whether the process or the system has no descriptor left: closing an idle connection helps.
+/// Returns whether the process or system is out of file descriptors, so that closing an idle connection may help.
 pub fn lacks_descriptor(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE))
 }
 
-/// What an accept loop does after an error of `accept`.
+/// What an accept loop does after `accept` failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAcceptError {
-    /// The queue is empty.
+    /// Wait until the listener is readable; its queue is empty.
     Wait,
-    /// The error took one connection with it, or none: the next one may be accepted at once.
+    /// Accept again at once; the failed connection, if any, has left the queue.
     AcceptNext,
-    /// Something is short, and the connection is still in the queue: a pause, or the loop would spin.
+    /// Pause before accepting again; a resource is short and the connection is still in the queue.
     Pause,
 }
 
-/// Decides what an accept loop does after an error of `accept`.
+/// Decides what an accept loop does after `accept` failed.
 ///
-/// Linux hands over what was already wrong with the new connection as an error of `accept`; that connection is gone
-/// from the queue, and a pause would only make the others in it wait.
+/// Linux returns pending network errors of a new connection from `accept` and removes that connection from the queue.
+/// Pausing after them would only delay the other connections.
 pub fn after_accept_error(error: &io::Error) -> AfterAcceptError {
     match Errno::from_io_error(error) {
         Some(Errno::AGAIN) => AfterAcceptError::Wait,
@@ -115,7 +114,7 @@
             | Errno::OPNOTSUPP
             | Errno::NETUNREACH
             | Errno::TIMEDOUT
-            // A packet filter of this machine forbids the connection.
+            // A local packet filter rejected the connection.
             | Errno::PERM,
         ) => AfterAcceptError::AcceptNext,
         _ => AfterAcceptError::Pause,
--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections: one policy for every listener.
+//! Accepts connections, with the same error handling for every listener.
 
 use super::calls;
 use super::connect::disable_write_delay;
@@ -9,49 +9,49 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Pause after an error that leaves the connection in the queue: what is short comes back when a connection ends.
+/// Delay before accepting again after a resource shortage, which usually ends when another connection closes.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// After so many errors in a row a pause follows whatever they are, so that no error can make the loop spin.
+/// Number of consecutive errors of any kind after which the accept loop pauses instead of spinning.
 const MAX_CONSECUTIVE_ERRORS: u32 = 64;
 
-/// What is at the head of a listener's queue.
+/// The result of [`Listener::try_accept`].
 #[derive(Debug)]
 pub enum TryAccept {
-    /// A connection.
+    /// An accepted connection.
     Connection(Async<TcpStream>),
-    /// Nothing.
+    /// The queue is empty.
     Empty,
-    /// A connection that went while it was queued, or an interrupted call: the next one may be there.
+    /// A queued connection was lost or the call was interrupted; another connection may be available at once.
     Lost(io::Error),
-    /// A connection that cannot be taken for now, since something is short.
+    /// A resource shortage prevents accepting; the connection stays in the queue.
     Shortage(io::Error),
 }
 
-/// A listening socket.
+/// A listening TCP socket.
 pub struct Listener {
     io: Async<TcpListener>,
 }
 
 impl Listener {
-    /// Listens on an address.
+    /// Binds a new socket to an address and listens on it.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         Ok(Listener { io: Async::<TcpListener>::bind(address)? })
     }
 
-    /// Takes over a socket that listens.
+    /// Uses a socket that is already listening.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         Ok(Listener { io: Async::new(listener)? })
     }
 
-    /// The next connection. Errors are told to `failed` and never end the loop: connections that went while they were
-    /// queued are passed over, and a shortage is waited out.
+    /// Waits for the next connection. Errors are passed to `on_error` and never returned: lost connections are skipped,
+    /// and after a resource shortage the call is repeated with a delay.
     pub async fn accept(&self, mut on_error: impl FnMut(&io::Error)) -> Async<TcpStream> {
         let mut consecutive_errors = 0;
         loop {
             match self.try_accept() {
                 TryAccept::Connection(stream) => return stream,
                 TryAccept::Empty => {
-                    // An error of the event queue itself passes like a shortage.
+                    // Treat an error of the event queue as a resource shortage.
                     if let Err(error) = self.io.readable().await {
                         on_error(&error);
                         Timer::after(SHORTAGE_RETRY_DELAY).await;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes what is at the head of the queue, without a wait.
+    /// Accepts a connection without waiting.
     pub fn try_accept(&self) -> TryAccept {
         let accepted = calls::accept(self.io.get_ref());
         let error = match accepted.and_then(Async::new) {
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! Makes sockets: the one place that opens, connects and accepts them, and that tells whose fault a failure is.
+//! Creates, connects and accepts sockets, and classifies the errors of doing so.
 //!
-//! A failed system call has one of three causes. A *local* one is a shortage or a rule of this machine, and says nothing
-//! of the other side. A *path* error says that packets do not get there, which may be either side's doing. What the
-//! *peer* did, such as refusing the connection, is the only kind that speaks against a backend at once.
+//! A *local* fault is a resource shortage or rule of this machine and says nothing about the peer. A *path* fault means
+//! that packets do not arrive, which either side may cause. Only a *peer* fault, such as a refused connection, counts
+//! against a backend at once.
 
 mod calls;
 mod connect;
--- a/proxy/src/net/reachability.rs
+++ b/proxy/src/net/reachability.rs
@@ -1,24 +1,24 @@
-//! Tells a path that is down to one endpoint from a machine that reaches nobody.
+//! Distinguishes an unreachable endpoint from a network failure of this machine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Endpoints that are kept track of: more than any fleet has.
+/// Maximum number of unreachable endpoints tracked; all are forgotten when another one would exceed it.
 const MAX_ENDPOINTS: usize = 4096;
 
-/// Which endpoints could not be reached lately.
+/// Tracks the endpoints whose network path failed recently.
 ///
-/// "No route" and "host unreachable" come both where an endpoint is gone or cut off and where this machine's own
-/// network is down for a moment, and then for every endpoint. Blaming the endpoints for the latter would eject the whole
-/// fleet. One is blamed where it cannot be reached twice in a row and another one was reached in between.
+/// "No route" and "host unreachable" occur if an endpoint is gone, but also, for every endpoint, if this machine's network
+/// fails. To avoid ejecting the whole fleet in the latter case, a path failure counts against an endpoint only if the path
+/// failed twice in a row and another endpoint was reached in between.
 #[derive(Debug, Default)]
 pub struct Reachability {
-    /// Those that could not be reached when they were last tried, and whether any other has been reached since.
+    /// The endpoints whose last attempt failed, with whether another endpoint has been reached since.
     unreachable: HashMap<SocketAddr, bool>,
 }
 
 impl Reachability {
-    /// An endpoint was reached: a connection came up, or it answered on one.
+    /// Records that an endpoint was reached: it accepted a connection or replied on one.
     pub fn reached(&mut self, endpoint: SocketAddr) {
         if self.unreachable.is_empty() {
             return;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The path to an endpoint failed. Whether that speaks against the endpoint rather than against this machine.
+    /// Records a path failure to an endpoint. Returns whether it counts against the endpoint rather than this machine.
     pub fn failed(&mut self, endpoint: SocketAddr) -> bool {
         if let Some(&other_reached) = self.unreachable.get(&endpoint) {
             return other_reached;
--- a/proxy/src/net/tests.rs
+++ b/proxy/src/net/tests.rs
@@ -82,7 +82,7 @@
         (Errno::CONNABORTED, 20, 0),
         (Errno::INTR, 20, 0),
         (Errno::PROTO, 20, 0),
-        // An error that never ends does not keep the thread.
+        // Two pauses within 130 consecutive errors, so that the loop does not block the thread.
         (Errno::CONNABORTED, 130, 2),
         (Errno::MFILE, 3, 3),
         (Errno::NFILE, 1, 1),
@@ -119,7 +119,7 @@
 fn connect_returns_a_stream_or_the_failed_call_and_its_fault() {
     let (listener, address) = loopback_listener();
     let connect = |address| async_io::block_on(connect(address));
-    // An interrupted call goes on, and a connection whose small writes may be delayed is used.
+    // A failure to set TCP_NODELAY does not fail the connection.
     injection::fail(SocketCall::SetNoDelay, Errno::NOBUFS, 1);
     let stream = connect(address).unwrap();
     assert_eq!(injection::left(SocketCall::SetNoDelay), 0);
@@ -137,7 +137,7 @@
         assert_eq!((failed.call, failed.fault()), (call, fault), "{failed}");
         assert_eq!(failed.lacks_descriptor(), error == Errno::MFILE);
     }
-    // Nobody listens there any more; and no connection can be made to a broadcast address.
+    // Connecting to a closed port is a peer fault; connecting to a broadcast address is not.
     drop(listener);
     assert_eq!(connect(address).unwrap_err().fault(), Fault::Peer);
     let broadcast = SocketAddr::from(([127, 255, 255, 255], 9));
@@ -148,17 +148,17 @@
 fn path_failure_counts_against_an_endpoint_only_if_others_were_reached() {
     let [a, b, c] = [1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let mut reachability = Reachability::default();
-    // This machine's network is down: nobody is reached, and nobody is blamed.
+    // If no endpoint is reached, no failure counts against an endpoint.
     for endpoint in [a, b, a, b, a, c] {
         assert!(!reachability.failed(endpoint));
     }
     reachability.reached(b);
-    assert!(reachability.failed(a) && reachability.failed(c), "others are reached and these are not");
-    assert!(!reachability.failed(b), "for the first time since it was reached");
+    assert!(reachability.failed(a) && reachability.failed(c), "another endpoint was reached in between");
+    assert!(!reachability.failed(b), "first failure since b was reached");
     reachability.reached(a);
-    assert!(!reachability.failed(a), "a new moment");
+    assert!(!reachability.failed(a), "first failure since a was reached");
     for port in 0..=u16::MAX {
         reachability.failed(SocketAddr::from(([127, 0, 0, 2], port)));
     }
-    assert!(!reachability.failed(c), "bounded, and forgetting blames nobody");
+    assert!(!reachability.failed(c), "c is forgotten once too many endpoints are tracked");
 }
--- a/proxy/src/outcome.rs
+++ b/proxy/src/outcome.rs
@@ -1,48 +1,48 @@
-//! How attempts, client connections and discovery's watches end, each with the name under which it is counted.
+//! How attempts, client connections and discovery watches end, with the counter name of each.
 
 use notchdoor::Outcome;
 
-/// What the counters' names begin with. They and the names behind it are an interface: scripts of operators read them off
-/// the log, so they stay as they are whatever the code calls a variant.
+/// Prefix of the counter names. Operators' scripts read the names from the log, so they stay the same even if a variant
+/// is renamed.
 pub const COUNTER_PREFIX: &str = "ending_";
 
 /// How an attempt at a backend or the origin ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AttemptOutcome {
-    /// The backend or the origin answered with a value or a receipt.
+    /// The backend or origin returned a value or confirmed a write.
     Served,
-    /// The backend holds nothing under the key.
+    /// The backend does not have the key.
     Missed,
-    /// The origin does not have the key, or is known not to have it.
+    /// The origin does not have the key, according to its reply or the negative cache.
     Absent,
-    /// It answered with an error.
+    /// The backend or origin returned an error.
     Errored,
-    /// It rejected the command before running it.
+    /// The backend or origin rejected the command without executing it.
     Rejected,
-    /// The connection was refused or reset before it was up.
+    /// The connection was refused, or reset during the handshake.
     ConnectRefused,
-    /// The connection was not up in time.
+    /// The connection was not established before its timeout.
     ConnectTimedOut,
     /// The connection broke before the command's last byte was written.
     BrokenUnsent,
     /// The connection broke after the command's last byte was written.
     BrokenSent,
-    /// What came back after the command was written is no answer.
+    /// The reply was malformed.
     Garbled,
-    /// A large answer began to come and there was no memory for it.
+    /// A large reply began, but the memory limit for large replies was reached.
     NoCapacity,
-    /// No answer by the time set, and the command was written whole.
+    /// The attempt timed out after the whole command was written.
     TimedOutSent,
-    /// The time set ran out before the command was written whole.
+    /// The attempt timed out before the whole command was written.
     TimedOutUnsent,
     /// The router cancelled the attempt.
     Cancelled,
-    /// There was no socket or no endpoint to send on.
+    /// No connection or endpoint was available.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// All of them, in the order of the counters.
+    /// All variants, in the order of the counters.
     pub const ALL: [AttemptOutcome; 15] = [
         AttemptOutcome::Served,
         AttemptOutcome::Missed,
@@ -61,7 +61,7 @@
         AttemptOutcome::NotSent,
     ];
 
-    /// Its name in the log and, behind [`COUNTER_PREFIX`], among the counters.
+    /// The name in the log and, after [`COUNTER_PREFIX`], of the counter.
     pub fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Served => "served",
@@ -82,13 +82,13 @@
         }
     }
 
-    /// What the router is told when an attempt ends so.
+    /// The outcome reported to the router.
     ///
-    /// Nothing counts as never run once the command's last byte was written, unless the other side says so: on this hangs
-    /// whether it may be repeated.
+    /// Once the last byte of a command is written, the command counts as possibly executed unless the server says
+    /// otherwise. The router decides by this whether the request may be retried.
     pub fn outcome(self) -> Outcome {
         match self {
-            // The origin has answered in its time; that the client is given a null is no fault of its.
+            // A missing key is a valid reply of the origin.
             AttemptOutcome::Served | AttemptOutcome::Absent => Outcome::Ok,
             AttemptOutcome::Missed => Outcome::Miss,
             AttemptOutcome::Errored => Outcome::Error,
@@ -100,7 +100,7 @@
             AttemptOutcome::Garbled | AttemptOutcome::NoCapacity => Outcome::MalformedReply,
             AttemptOutcome::TimedOutSent => Outcome::Timeout,
             AttemptOutcome::Cancelled => Outcome::Cancelled,
-            // The client's time was shorter than a connection may take: that says nothing of the backend.
+            // The client's deadline left no time to connect, which says nothing about the backend.
             AttemptOutcome::NotSent | AttemptOutcome::TimedOutUnsent => Outcome::NotSent,
         }
     }
@@ -109,22 +109,22 @@
 /// How a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConnectionEnd {
-    /// The client closed its connection or broke it.
+    /// The client closed or reset the connection.
     ClientLeft,
-    /// The client took nothing off its connection for too long.
+    /// The client did not read its replies for too long.
     ClientStalled,
-    /// The client sent what is no command; its connection was closed after the answers it was owed.
+    /// The client sent a malformed command; the connection was closed after all earlier commands were answered.
     ClientMalformed,
-    /// A streamed reply could not be ended; the connection was closed in the middle of it.
+    /// A streamed reply could not be completed, so the connection was closed in the middle of it.
     ReplyCut,
-    /// The client sent no whole command in the time that it has for one.
+    /// The client did not complete a command before the timeout.
     ClientSilent,
-    /// An idle connection was closed to make room or to stop.
+    /// The connection was idle and was closed to free a slot or to stop the proxy.
     ClosedIdle,
 }
 
 impl ConnectionEnd {
-    /// All of them, in the order of the counters.
+    /// All variants, in the order of the counters.
     pub const ALL: [ConnectionEnd; 6] = [
         ConnectionEnd::ClientLeft,
         ConnectionEnd::ClientStalled,
@@ -134,7 +134,7 @@
         ConnectionEnd::ClosedIdle,
     ];
 
-    /// Its name in the log and, behind [`COUNTER_PREFIX`], among the counters.
+    /// The name in the log and, after [`COUNTER_PREFIX`], of the counter.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::ClientLeft => "client_left",
@@ -147,20 +147,20 @@
     }
 }
 
-/// How a watch on discovery ended.
+/// How a discovery watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DiscoveryEnd {
-    /// Discovery's call failed, its answer made no sense, or the watch was closed.
+    /// The call to discovery failed, its reply was malformed, or the watch was closed.
     Broken,
-    /// Discovery's watch was silent well past its beat.
+    /// The watch received no data, not even a heartbeat, for too long.
     Silent,
 }
 
 impl DiscoveryEnd {
-    /// All of them, in the order of the counters.
+    /// All variants, in the order of the counters.
     pub const ALL: [DiscoveryEnd; 2] = [DiscoveryEnd::Broken, DiscoveryEnd::Silent];
 
-    /// Its name in the log and, behind [`COUNTER_PREFIX`], among the counters.
+    /// The name in the log and, after [`COUNTER_PREFIX`], of the counter.
     pub fn name(self) -> &'static str {
         match self {
             DiscoveryEnd::Broken => "registry_broken",
