--- a/cli/tests/versions.rs
+++ b/cli/tests/versions.rs
@@ -197,7 +197,7 @@
         line("o", &origin, "in_service", 0),
     ];
     let proxy = Proxy::with_files(&registry, &list, (1024, 192), &[("coord.toml", &(doors + guard))]);
-    proxy.logged("versions: acts on 0");
+    proxy.logged("versions: applying 0");
     let get = |key: &str, id: &str| proxy.client().get(key, id, 2_000);
     let workers = |round: &str| {
         let answers: Vec<_> = (0..40).map(|n| get(&format!("x{n}"), &format!("{round}-{n}"))).collect();
@@ -218,7 +218,7 @@
         "{told}"
     );
     assert!(apply(&fleet, &["fix"], &["--wait"]).status.success());
-    proxy.logged("versions: acts on 1");
+    proxy.logged("versions: applying 1");
     let fix = |id: &str| proxy.client().ask(&["OBJ.GET", "z", id, "c=fix,t=acme,d=2000"]);
     assert!(busy(&fix("blocked")) && !busy(&get("k1", "other")));
     // Paused with a request in its hand, and nobody confirms any more when it goes on: the request finds it in safe
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -1,5 +1,7 @@
-//! Events in, the module's decisions, commands out. No protocol and no socket is known here: a request is
-//! what it is about and how long its client waits, and whatever else was said travels along unread.
+//! Passes events to the router and turns its actions into commands for the driver.
+//!
+//! This module is independent of protocols and sockets. The contents of a request are passed through unread, except for
+//! its class, tenant, key, kind and deadline.
 
 use crate::outcome::{AttemptOutcome, DiscoveryEnd};
 use crate::state::endpoints::{AdministrativeDrains, Applied, EndpointList, Update};
@@ -34,46 +36,46 @@
     call: Rc<C>,
     attempts: Vec<Attempt>,
     timers: Vec<TimerKey>,
-    /// Answered, or its client has left: only what is still out keeps it.
+    /// The request was answered or its client has left; it is kept only until its outstanding attempts end.
     finished: bool,
     /// The attempt whose reply is being streamed to the client, or is about to be.
     streaming: Option<u32>,
 }
 
-/// The module with what it needs round it.
+/// The router with the state needed to run it: endpoints, requests in flight, timers and counters.
 pub struct Proxy<C> {
     stack: Stack,
-    /// What the clocks showed when the process began.
+    /// The readings of both clocks at startup.
     start: ClockReading,
     names: DeploymentNames,
-    /// Discovery's list.
+    /// The endpoint list from discovery.
     pub endpoints: EndpointList,
     in_flight: HashMap<RequestId, InFlightRequest<C>>,
-    /// The clients' ids of all requests in flight.
+    /// The client-assigned ids of all requests in flight.
     open_client_ids: HashSet<Vec<u8>>,
     reply_slots: HashMap<ReplySlot, RequestId>,
     outstanding: HashMap<AttemptId, (RequestId, u32)>,
     timers: Timers,
-    /// What has been counted.
+    /// Counters for the log and metrics.
     pub counters: Counters,
     next_request: RequestId,
     next_attempt_id: AttemptId,
     commands: Vec<Command<C>>,
     pending_events: VecDeque<Event<'static>>,
     actions: Vec<Action>,
-    /// What the group's versions forbid, where they are acted on.
+    /// The block rules of the configuration version in force; `None` if this proxy does not apply versions.
     version_in_force: Option<VersionInForce>,
-    /// Requests refused by it.
+    /// Number of requests rejected by these rules.
     rejected_by_version: u64,
-    /// What operators took out of service, and put back lately.
+    /// Backends drained by operators and backends recently put back in service.
     drains: AdministrativeDrains,
 }
 
-/// Who is refused by a version comes back after so long: a version lasts longer.
+/// Retry-After, in microseconds, of requests rejected by the configuration version in force.
 const FORBIDDEN_RETRY_AFTER: Micros = 1_000_000;
 
 impl<C> Proxy<C> {
-    /// A proxy that holds no list yet.
+    /// Creates a proxy with an empty endpoint list.
     pub fn new(
         settings: Settings,
         names: DeploymentNames,
@@ -104,25 +106,25 @@
         }
     }
 
-    /// What is to be done now.
+    /// Returns and clears the pending commands, in the order in which they must be executed.
     pub fn take_commands(&mut self) -> Vec<Command<C>> {
         std::mem::take(&mut self.commands)
     }
 
-    /// When [`Proxy::tick`] is next wanted.
+    /// The time at which [`Proxy::tick`] must be called next, if any.
     pub fn next_due(&self) -> Option<Micros> {
         let step = self.version_in_force.as_ref().and_then(VersionInForce::next_due);
         self.timers.next_due().into_iter().chain(step).min()
     }
 
-    /// Takes up another policy; requests that are open keep the limits they began with. False where that takes a
-    /// restart: limits cannot be put round a module that is at work, nor taken away from it.
+    /// Replaces the policy; open requests keep the limits that they started with. Returns false if the change requires a
+    /// restart, because it would add or remove the policy altogether.
     pub fn reload(&mut self, now: Micros, policy: Option<Arc<Policy>>) -> bool {
         self.stack.reload(policy, now)
     }
 
-    /// A request was read whole. One that cannot be carried out is not taken, and the error says why: guards
-    /// against backends and the origin that are asked, and judged, for what no backend could answer.
+    /// Starts a request that was read completely. An invalid request returns an error and is never sent, since its failure
+    /// would count against the servers that receive it.
     pub fn start_request(&mut self, now: Micros, request: ClientRequest<C>) -> Result<(), RequestError> {
         let class = index_of(&self.names.classes, &request.class).ok_or(RequestError::UnknownClass)?;
         self.advance_version(now);
@@ -130,7 +132,7 @@
             .version_in_force
             .as_ref()
             .is_some_and(|versions| versions.forbids(&request.class, &request.key));
-        // Backends know a request by its id: another of the same id would end the one that is open.
+        // Backends identify a request by its id, so a second one with the same id would end the first.
         if !self.open_client_ids.insert(request.id.clone()) {
             return Err(RequestError::IdInUse);
         }
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// The client has gone before the answer.
+    /// Records that the client disconnected before it was answered.
     pub fn client_left(&mut self, now: Micros, reply_slot: ReplySlot) {
         if let Some(id) = self.reply_slots.remove(&reply_slot) {
             self.counters.left += 1;
@@ -179,15 +181,14 @@
         }
     }
 
-    /// Where the answer goes for which an attempt is out; `None` once nobody waits for it any more.
+    /// The reply slot of the request that an attempt belongs to; `None` if the request no longer needs an answer.
     pub fn reply_slot(&self, attempt_id: AttemptId) -> Option<ReplySlot> {
         let (id, _) = self.outstanding.get(&attempt_id)?;
         self.in_flight.get(id).filter(|request| !request.finished).map(|request| request.reply_slot)
     }
 
-    /// An attempt brings a value that is passed on as it comes: from here on the answer is its. Where that goes;
-    /// `None` if nobody waits for it any more. The time is that from the command to its first byte, as
-    /// [`AttemptReply::took`].
+    /// Starts streaming the reply of an attempt to the client. Returns the reply slot, or `None` if the request is already
+    /// answered or another attempt is being streamed. `took` is as in [`AttemptReply::took`].
     pub fn start_streaming(
         &mut self,
         now: Micros,
@@ -205,7 +206,7 @@
         Some(reply_slot)
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt and answers its request if this decides it.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -213,7 +214,7 @@
         outcome: AttemptOutcome,
         reply: AttemptReply,
     ) {
-        // What was called off has ended already: its late answer is nobody's.
+        // Ignore late replies of attempts that were cancelled.
         let Some((id, n)) = self.outstanding.remove(&attempt_id) else { return };
         self.counters.attempt_ended(outcome);
         let router_outcome = outcome.outcome();
@@ -232,7 +233,7 @@
                 Outcome::Ok if request.streaming.is_none() => {
                     Some(Answer::Served(reply.value.unwrap_or_default()))
                 }
-                // Some of it is with the client: no other attempt can be joined to that.
+                // The client has part of this reply, which no other attempt can continue.
                 _ if streamed => Some(Answer::Truncated),
                 _ => None,
             };
@@ -256,12 +257,12 @@
         self.remove_if_done(id);
     }
 
-    /// discovery sent the list or changes.
+    /// Applies an endpoint list or endpoint update from discovery.
     pub fn update(&mut self, now: Micros, update: Update) {
         self.counters.discovery_updates += 1;
         let rev = update.rev;
         let Some(applied) = self.endpoints.apply(now, update) else {
-            log::warn!(version = rev; "discovery: changes up to {rev} came after {}", self.endpoints.rev());
+            log::warn!(version = rev; "discovery: ignored update of version {rev}, the current version is {}", self.endpoints.rev());
             return;
         };
         self.send_endpoint_event(now, applied);
@@ -281,13 +282,13 @@
         self.process_events(now);
     }
 
-    /// A watch could not be begun, or has ended.
+    /// Records that the discovery watch could not be started or has ended.
     pub fn discovery_failed(&mut self, now: Micros, end: DiscoveryEnd) {
         self.counters.watch_ended(end);
         self.process_event(now, Event::DiscoveryError);
     }
 
-    /// Gives every request its final answer now, but for those whose answer is being passed on.
+    /// Asks the router for the final answers of all requests now, except those whose reply is being streamed.
     pub fn answer_all(&mut self, now: Micros) {
         let mut unanswered: Vec<RequestId> = self.reply_slots.values().copied().collect();
         unanswered.sort_unstable();
@@ -296,7 +297,7 @@
         }
     }
 
-    /// Fires the timers that have fallen due.
+    /// Applies the configuration version that is due and fires expired timers.
     pub fn tick(&mut self, now: Micros) {
         self.advance_version(now);
         while let Some(token) = self.timers.pop(now) {
@@ -309,7 +310,7 @@
         self.process_events(now);
     }
 
-    /// Hands what has happened to the module until nothing more comes of it.
+    /// Passes pending events to the router, including those that its actions cause, until none is left.
     fn process_events(&mut self, now: Micros) {
         while let Some(event) = self.pending_events.pop_front() {
             let ended = match event {
@@ -376,7 +377,7 @@
         self.remove_if_done(id);
     }
 
-    /// Gives a request its final answer, unless it has one: the one reply_slot where how it ended is counted.
+    /// Sends the final answer of a request unless it has one already, and counts it by class.
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(request) = self.in_flight.get_mut(&id).filter(|request| !request.finished) else { return };
         request.finished = true;
@@ -393,20 +394,20 @@
 
     fn set_timer(&mut self, due: Micros, token: u64) {
         let request = self.stack.timer_request(token);
-        // A request that has ended wants no more timers.
+        // The request has ended.
         if request.is_some_and(|id| !self.in_flight.contains_key(&id)) {
             return;
         }
         let Some(key) = self.timers.set(due, token) else {
-            return log::error!("no room for another timer");
+            return log::error!("timer limit reached, a timer was not set");
         };
         if let Some(request) = request.and_then(|id| self.in_flight.get_mut(&id)) {
             request.timers.push(key);
         }
     }
 
-    /// Drops a request that is over and has nothing out, and its timers with it. Clients may wait for an hour:
-    /// the timers of what was answered long ago would fill the queue, and then a request could go unanswered.
+    /// Removes a finished request without outstanding attempts, and its timers. Timers of finished requests with long
+    /// deadlines would otherwise fill the queue, and open requests could not set theirs.
     fn remove_if_done(&mut self, id: RequestId) {
         if self
             .in_flight
--- a/proxy/src/proxy/inspect.rs
+++ b/proxy/src/proxy/inspect.rs
@@ -1,4 +1,4 @@
-//! What is held and counted, as operators and checks see it.
+//! Metrics and state inspection for operators and tests.
 
 use super::Proxy;
 use crate::state::endpoints::Backend;
@@ -8,17 +8,17 @@
 use std::collections::HashSet;
 
 impl<C> Proxy<C> {
-    /// Requests whose answer is owed.
+    /// Number of requests without a final answer.
     pub fn unanswered_requests(&self) -> usize {
         self.reply_slots.len()
     }
 
-    /// Requests that are held: their answer is owed, or their client has left and a fetch is still out.
+    /// Number of requests in flight: unanswered ones, and finished ones with outstanding attempts such as an origin fetch.
     pub fn requests_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// What is still kept that should be gone once every request is over.
+    /// Describes state that remains although all requests should have ended; `None` if there is none.
     pub fn leaked_state(&self) -> Option<String> {
         let timed = self.timers.tokens().filter(|t| self.stack.timer_request(*t).is_some()).count();
         let remaining = [
@@ -32,7 +32,7 @@
         self.stack.leaked_state().or_else(|| (remaining != [0; 5]).then(description))
     }
 
-    /// What operators are shown.
+    /// A snapshot of the metrics for operators.
     pub fn metrics(&self) -> Metrics<'_> {
         let ejected: HashSet<ServerId> = self.stack.router().ejected_servers().collect();
         let excluded = |(id, w): &(ServerId, &Backend)| self.endpoints.is_drained(w) || ejected.contains(id);
--- a/proxy/src/proxy/overrides.rs
+++ b/proxy/src/proxy/overrides.rs
@@ -1,4 +1,4 @@
-//! What goes over discovery's list and over requests: backends drained by operators, and the version in force.
+//! Overrides of the endpoint list and of requests: administrative drains and the configuration version in force.
 
 use super::Proxy;
 use crate::state::endpoints::AdministrativeDrains;
@@ -6,13 +6,13 @@
 use notchdoor::Micros;
 
 impl<C> Proxy<C> {
-    /// Acts on the group's versions from here on: on the guard, until a plan says otherwise.
+    /// Starts applying configuration versions. The guard applies until [`Proxy::schedule_versions`] supplies a version.
     pub fn enforce_versions(&mut self, now: Micros, version_in_force: VersionInForce) {
         self.version_in_force = Some(version_in_force);
         self.apply_drains(now);
     }
 
-    /// The group has confirmed what is acted on from when to when.
+    /// Replaces the schedule of versions with the one that the lease group confirmed.
     pub fn schedule_versions(&mut self, now: Micros, steps: Vec<Step>) {
         if let Some(version_in_force) = &mut self.version_in_force {
             version_in_force.plan(steps);
@@ -24,11 +24,11 @@
             .and_then(|versions| Some((versions, versions.acting().on.as_ref()?)))
         {
             let (number, left) = (version.number, version_in_force.until().saturating_sub(now) / 1000);
-            log::debug!(event = "confirmed", version = number, left_ms = left; "versions: {number} for {left} ms");
+            log::debug!(event = "confirmed", version = number, left_ms = left; "versions: {number} confirmed for {left} ms");
         }
     }
 
-    /// Goes on to the version, or the safe mode, that is due.
+    /// Switches to the version or safe mode that is due at `now`.
     pub(super) fn advance_version(&mut self, now: Micros) {
         let Some(version_in_force) = self
             .version_in_force
@@ -41,21 +41,23 @@
             let left = version_in_force.until().saturating_sub(now) / 1000;
             match &version_in_force.acting().on {
                 Some(v) => {
-                    log::info!(event = "acts", version = v.number, left_ms = left; "versions: acts on {}", v.number);
+                    log::info!(event = "acts", version = v.number, left_ms = left; "versions: applying {}", v.number);
+                }
+                None => {
+                    log::warn!(event = "acts", left_ms = 0; "versions: safe mode, no version is confirmed")
                 }
-                None => log::warn!(event = "acts", left_ms = 0; "versions: safe mode, nothing is confirmed"),
             }
             self.apply_drains(now);
         }
     }
 
-    /// These backends are drained by operators from here on and no others; those put back lately count as cold from then.
+    /// Replaces the set of administrative drains. Backends put back in service count as cold from that time on.
     pub fn set_drains(&mut self, now: Micros, drains: AdministrativeDrains) {
         self.drains = drains;
         self.apply_drains(now);
     }
 
-    /// Lays what operators and the version in force drain over the list.
+    /// Applies the drains of operators and of the version in force to the endpoint list.
     fn apply_drains(&mut self, now: Micros) {
         let mut drains = self.drains.clone();
         if let Some(version_in_force) = &self.version_in_force {
--- a/proxy/src/proxy/request.rs
+++ b/proxy/src/proxy/request.rs
@@ -1,106 +1,106 @@
-//! What passes between the proxy and whoever owns the sockets: requests, replies of attempts, and commands.
+//! The types exchanged between the proxy and its driver: requests, attempt replies, answers and commands.
 
 use notchdoor::{Micros, ServerId};
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Where an answer goes.
+/// Identifies the command of a client session that an answer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReplySlot {
-    /// The client's connection.
+    /// The number of the client connection.
     pub connection: u64,
-    /// The reply_slot among its commands.
+    /// The position among the commands of that connection.
     pub sequence: u64,
 }
 
-/// One attempt, never reused.
+/// Identifies an attempt; never reused.
 pub type AttemptId = u64;
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The value or the receipt that a backend or the origin gave for this request.
+    /// The value, or the confirmation of a write, returned by a backend or the origin.
     Served(Vec<u8>),
-    /// An overload reply: trying again is harmless.
+    /// Rejected because of overload or a block rule; the request may safely be retried.
     Rejected {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry, in microseconds; 0 to send none.
         retry_after: Micros,
     },
-    /// Failed; nothing is promised about its effect.
+    /// Failed; the request may have taken effect.
     Failed,
-    /// Failed: there is nothing under the key.
+    /// The key does not exist; counted as failed.
     Absent,
-    /// The value has been passed on as it came, and all of it made sense.
+    /// The whole value was already streamed to the client.
     Streamed,
-    /// The value was being passed on and does not go on; the client has to be able to tell.
+    /// Streaming the value stopped before its end; the client must be able to detect that.
     Truncated,
 }
 
-/// Why a request is not taken. The texts are part of the answer to its client.
+/// Why a request was not accepted. The message is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The settings name no such class.
+    /// The settings have no class of this name.
     #[error("unknown class")]
     UnknownClass,
-    /// Another open request has its id.
+    /// Another request in flight has the same id.
     #[error("id in use")]
     IdInUse,
 }
 
-/// A client's request, whatever protocol it came in.
+/// A client's request, independent of the protocol.
 pub struct ClientRequest<C> {
-    /// Its id, as the client gave it.
+    /// The id assigned by the client.
     pub id: Vec<u8>,
-    /// Where the answer goes.
+    /// Where to send the answer.
     pub reply_slot: ReplySlot,
-    /// The class, by its name.
+    /// The name of the class.
     pub class: String,
-    /// The tenant, by its name.
+    /// The name of the tenant.
     pub tenant: String,
-    /// What it is about.
+    /// The key to read or write.
     pub key: Vec<u8>,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// When the client gives up.
+    /// The time until which the client waits for the answer.
     pub deadline: Micros,
-    /// What is passed on.
+    /// The command to forward, opaque to the proxy.
     pub call: C,
 }
 
-/// What an attempt brought beside its ending.
+/// The reply of an attempt and its timing, in addition to its outcome.
 #[derive(Debug, Default)]
 pub struct AttemptReply {
-    /// The value or the receipt, where it was served.
+    /// The value or write confirmation, if the attempt was served.
     pub value: Option<Vec<u8>>,
-    /// From the command to the first byte of its answer; `None` on a new connection, whose first command pays
-    /// for the handshake.
+    /// The time from the command to the first byte of its reply; `None` on a new connection, where it would include the
+    /// handshake.
     pub took: Option<Micros>,
-    /// How long it was waited for, where that is not since the attempt began: a value that passes through takes its
-    /// client's time before anything can be waited for.
+    /// How long the reply was awaited, if not since the start of the attempt. While a value is streamed from the client,
+    /// the attempt depends on the client's speed, and the wait starts only afterwards.
     pub waited: Option<Micros>,
 }
 
-/// What the driver has to do, in this order.
+/// A command for the driver. Commands must be executed in order.
 pub enum Command<C> {
-    /// Begin an attempt; [`super::Proxy::attempt_ended`] is owed for it.
+    /// Start an attempt. The driver must report its end with [`super::Proxy::attempt_ended`].
     StartAttempt {
-        /// Its number.
+        /// The id of the attempt.
         attempt_id: AttemptId,
-        /// To whom.
+        /// The server to send it to.
         server: ServerId,
-        /// What is sent.
+        /// The command to send.
         call: Rc<C>,
-        /// When to give up on it.
+        /// When to stop waiting for the reply.
         give_up_at: Micros,
-        /// From then on its command may not be written any more.
+        /// The time from which the command must not be sent any more.
         begin_by: Micros,
     },
-    /// Close an attempt's connection; nothing more is owed for it.
+    /// Cancel an attempt by closing its connection. The driver need not report its end.
     Cancel(AttemptId),
-    /// Give a final answer.
+    /// Send a final answer to the client.
     Answer(ReplySlot, Answer),
-    /// Watch discovery; [`super::Proxy::discovery_failed`] is owed when that ends.
+    /// Start a discovery watch. The driver must report its end with [`super::Proxy::discovery_failed`].
     Watch,
-    /// Drop all old connections to this server.
+    /// Close all existing connections to this server.
     DropConnections(ServerId),
 }
--- a/proxy/src/proxy/tests.rs
+++ b/proxy/src/proxy/tests.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its answer, through the router, with nothing open.
+//! The lifetime of a request from arrival to answer, through the router but without sockets.
 
 use super::*;
 use crate::state::endpoints::Target;
@@ -85,7 +85,7 @@
     assert_eq!(proxy.start_request(T, request(0, "none", T)), Err(RequestError::UnknownClass));
     let attempts = start_read(&mut proxy, 0, T);
     assert_eq!(proxy.start_request(T, request(0, "read", T)), Err(RequestError::IdInUse));
-    assert!(proxy.take_commands().is_empty(), "the first is not disturbed");
+    assert!(proxy.take_commands().is_empty(), "the request in flight is unaffected");
     proxy.attempt_ended(T + 10, attempts[0], AttemptOutcome::Served, served_reply());
     assert_eq!(answers(proxy.take_commands()), [(slot(0), Answer::Served(b"v".to_vec()))]);
     assert!(proxy.open_client_ids.is_empty());
@@ -121,7 +121,7 @@
     let served = vec![(slot(0), Answer::Served(b"v".to_vec()))];
     assert_eq!(answers(proxy.take_commands()), served);
     proxy.attempt_ended(T + 20, attempts[0], AttemptOutcome::Served, AttemptReply::default());
-    assert!(proxy.take_commands().is_empty(), "an ending that was told already is nobody's");
+    assert!(proxy.take_commands().is_empty(), "a repeated end of an attempt is ignored");
     assert_eq!((proxy.unanswered_requests(), proxy.in_flight.len(), proxy.timers.len()), (0, 0, 0));
 }
 
@@ -136,7 +136,7 @@
     assert_eq!((proxy.counters.left, proxy.counters.attempts_ended(AttemptOutcome::Cancelled)), (1, 1));
 }
 
-/// Finding 11: a client that left with a fetch attempts freed its room, though its request was still in flight.
+/// Regression test: the slot of a request was freed when its client left, while its origin fetch was still in flight.
 #[test]
 fn abandoned_request_stays_in_flight_until_its_origin_fetch_ends() {
     let mut proxy = proxy();
@@ -153,7 +153,7 @@
         (0, 1, 0)
     );
     proxy.attempt_ended(T + 30, fetch[0], AttemptOutcome::Served, served_reply());
-    assert!(answers(proxy.take_commands()).is_empty(), "nobody waits for it");
+    assert!(answers(proxy.take_commands()).is_empty(), "the client has left");
     assert_eq!((proxy.requests_in_flight(), proxy.leaked_state()), (0, None));
 }
 
--- a/proxy/tests/clocks.rs
+++ b/proxy/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! The wall clock is set between two starts, or was off when the process began: the age of each backend as the router
-//! is told it. No real clock is set: both are handed to the list.
+//! Checks the backend start times reported to the router if the wall clock is wrong at startup. No system clock is
+//! changed: the tests pass both clock readings to the endpoint list.
 
 use notchdoor::{Micros, ServerId};
 use notchdoor_proxy::state::endpoints::{
@@ -12,13 +12,13 @@
 const S: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * S;
 const SLOW_START: Micros = 8_100_000;
-/// The monotonic clock when the process begins, and discovery's clock at that moment.
+/// The reading of the monotonic clock at startup. [`DISCOVERY_TIME_AT_START`] is discovery's clock at the same time.
 const PROCESS_START: Micros = 1 << 50;
 const DISCOVERY_TIME_AT_START: Micros = 1_800_000_000 * S;
-/// How long a change takes from a start to its notification.
+/// Time in microseconds from the start of a backend to its endpoint update.
 const NOTIFICATION_DELAY: Micros = 50_000;
 
-/// How far the wall clock is ahead of discovery's, in microseconds.
+/// Offsets of the wall clock from discovery's clock, in microseconds; positive if ahead.
 const WALL_CLOCK_OFFSETS: [i64; 5] = [0, 3_600_000_000, -3_600_000_000, 3_000_000, -3_000_000];
 
 fn clock_reading(offset: i64) -> ClockReading {
@@ -28,9 +28,9 @@
     }
 }
 
-/// When the router would be told that a backend started, from discovery's stamp.
+/// Converts discovery's boot timestamps to the start times reported to the router.
 trait StartTimes {
-    /// Takes an update at this moment; each backend that the router is told of, and since when it runs.
+    /// Applies an update received at `now` and returns the start time of each reported backend.
     fn apply_update(&mut self, now: Micros, update: Update) -> Vec<(ServerId, Micros)>;
     fn set_current(&mut self) {}
 }
@@ -46,13 +46,13 @@
     }
 }
 
-/// Takes a stamp for a monotonic moment.
+/// Incorrect: uses a Unix timestamp as a monotonic time.
 struct MixesClocks;
 
-/// Trusts the wall clock of its start, as releases up to 0.1.0 did.
+/// Incorrect: relies on the wall clock at startup, as releases up to 0.1.0 did.
 struct TrustsWallClock(ClockReading);
 
-/// Takes every start for one of this moment.
+/// Incorrect: treats every backend as started now.
 struct TreatsAllAsCold;
 
 fn map_start_times(update: Update, started_at: impl Fn(UnixMicros) -> Micros) -> Vec<(ServerId, Micros)> {
@@ -83,7 +83,7 @@
     EndpointList::new(names, None, clock_reading(offset), SLOW_START)
 }
 
-/// A backend that started so long after the process did.
+/// A target whose backend started `after` microseconds after the process, or before it if negative.
 fn target_started(uid: &str, after: i64) -> Target {
     Target {
         uid: uid.into(),
@@ -101,7 +101,7 @@
     Update { rev, all, targets }
 }
 
-/// Plays one process: a list at the start, then changes while it watches. The first age that is wrong, if any.
+/// Simulates one process that receives an endpoint list and then updates, and returns the first incorrect start time.
 fn check_start_times(start_times: &mut dyn StartTimes, wall_clock_is_correct: bool) -> Result<(), String> {
     let mut since: BTreeMap<ServerId, Micros> = BTreeMap::new();
     let hours = |n: i64| n * HOUR as i64;
@@ -113,10 +113,10 @@
     };
     for uid in ["old", "older"] {
         if age(&since, uid, PROCESS_START) < SLOW_START {
-            return Err(format!("{uid}: a backend of the fleet is cold at the start of a process"));
+            return Err(format!("{uid}: a long-running backend is cold at the start of the process"));
         }
     }
-    // Starts that are told while the list is watched; the last one long after the first.
+    // Backends that start during the watch, the last one hours later.
     for (rev, uid, after) in [(2, "first", 20 * S), (3, "second", 40 * S), (4, "late", 5 * HOUR)] {
         let notified = PROCESS_START + after + NOTIFICATION_DELAY;
         since.extend(
@@ -136,7 +136,7 @@
         }
     }
     if wall_clock_is_correct {
-        // Told 4 s late, as after a pause of discovery's: its age is known all the same.
+        // A late update, 4 s after the start, still gives the actual age.
         let late = target_started("slow", 6 * HOUR as i64);
         let notified = PROCESS_START + 6 * HOUR + 4 * S;
         since.extend(start_times.apply_update(notified, update(5, false, vec![late])));
@@ -162,7 +162,7 @@
 #[test]
 fn each_incorrect_clock_conversion_is_detected() {
     let assert_detected = |start_times: &mut dyn StartTimes, expected: &str, offset: i64| {
-        let found = check_start_times(start_times, offset == 0).expect_err("not caught");
+        let found = check_start_times(start_times, offset == 0).expect_err("not detected");
         assert!(found.contains(expected), "{offset}: {found}");
     };
     assert_detected(&mut MixesClocks, "is cold at the start", 0);
@@ -170,7 +170,7 @@
     assert_eq!(
         check_start_times(&mut TrustsWallClock(clock_reading(0)), true),
         Ok(()),
-        "right where the wall clock is"
+        "correct if the wall clock is correct"
     );
     for (offset, expected) in [
         (WALL_CLOCK_OFFSETS[1], "taken for 3600"),
@@ -191,7 +191,7 @@
             list.apply_update(PROCESS_START, update(1, true, vec![target_started("cold", cold)])),
             [(server_id("cold"), first)]
         );
-        // What the first watch has to catch up on may have started long ago.
+        // Updates before the watch is current may be about earlier starts and do not correct the offset.
         let caught_up = list
             .apply_update(PROCESS_START + S, update(2, false, vec![target_started("missed", -9 * S as i64)]));
         assert_eq!(caught_up, [(server_id("missed"), PROCESS_START.wrapping_add(negated(offset)) - 9 * S)]);
@@ -219,7 +219,7 @@
     let members =
         list.apply_update(PROCESS_START, update(1, true, vec![target_started("ahead", HOUR as i64)]));
     assert_eq!(members, [(server_id("ahead"), PROCESS_START)]);
-    // Told once more it is the same start, also after it was away.
+    // The same boot timestamp keeps its start time, even after the backend was gone.
     list.set_current();
     let gone = Target { state: Readiness::Terminated, ..target_started("ahead", HOUR as i64) };
     list.apply_update(PROCESS_START + S, update(2, false, vec![gone]));
@@ -237,7 +237,7 @@
         let members = list.apply_update(PROCESS_START + S, update(rev as u64 + 1, false, vec![target]));
         assert!(members[0].1 <= PROCESS_START + S, "{boot_ms}: {members:?}");
     }
-    // A stamp of the far future moves nobody else's age.
+    // A boot timestamp far in the future does not change the start times of other backends.
     let members =
         list.apply_update(PROCESS_START + 9 * S, update(9, false, vec![target_started("x", 8 * S as i64)]));
     assert_eq!(members, [(server_id("x"), PROCESS_START + 8 * S)]);
@@ -250,23 +250,23 @@
         ..AdministrativeDrains::default()
     };
     for offset in WALL_CLOCK_OFFSETS {
-        // Put back a second before this process began, by a process whose clock was right.
+        // Put back in service one second before startup, by a process with a correct clock.
         let mut list = endpoint_list(offset);
         let stamp = UnixMicros(DISCOVERY_TIME_AT_START - S);
         list.set_drains(PROCESS_START, put_back(stamp));
         let target = Target { boot_ms: 0.0, ..target_started("w", 0) };
         let members = list.apply_update(PROCESS_START + S, update(1, true, vec![target.clone()]));
         assert_eq!(members, [(server_id("w"), PROCESS_START)], "wall clock ahead by {offset} us");
-        // The file is read over and over: it is put back no later for that.
+        // Reading the same state again does not change the time.
         list.set_drains(PROCESS_START + 2 * S, put_back(stamp));
         let members = list.apply_update(PROCESS_START + 3 * S, update(2, false, vec![target.clone()]));
         assert_eq!(members, [(server_id("w"), PROCESS_START)]);
-        // Put back once more: another stamp.
+        // Put back again, with a new timestamp.
         list.set_drains(PROCESS_START + 9 * S, put_back(UnixMicros(DISCOVERY_TIME_AT_START + 9 * S)));
         let members = list.apply_update(PROCESS_START + 9 * S, update(3, false, vec![target]));
         assert_eq!(members, [(server_id("w"), PROCESS_START + 9 * S)]);
     }
-    // Longer ago than any offset and a slow start: warm.
+    // Put back longer ago than the maximum wall clock step and a slow start: warm.
     let mut list = endpoint_list(0);
     let stamp = UnixMicros(DISCOVERY_TIME_AT_START - MOST_WALL_STEP - SLOW_START);
     list.set_drains(PROCESS_START, put_back(stamp));
--- a/proxy/tests/counter_names.rs
+++ b/proxy/tests/counter_names.rs
@@ -1,4 +1,4 @@
-//! The names of the counters in the log: scripts of operators read them, so they stay.
+//! Operators' scripts read the counter names from the log, so the names and their order must not change.
 
 use notchdoor_proxy::state::metrics::counters::Counters;
 
--- a/proxy/tests/hot_restart.rs
+++ b/proxy/tests/hot_restart.rs
@@ -1,15 +1,15 @@
-//! The hot-restart file as released versions wrote it: it is read by every later one.
+//! Compatibility with hot-restart state files written by earlier releases, and robustness of changes to them.
 
 use notchdoor_proxy::state::hot_restart::{Change, HotRestart};
 use std::path::PathBuf;
 
-/// Written by a process of release 0.1.0: one backend taken out, another taken out and put back.
+/// A state file written by release 0.1.0, with one drained backend and one drained and put back in service.
 const STORED_STATE: &str = include_str!("data/hot_restart.state");
-/// The name under which that process kept it: of the proxy, its address and its deployment.
+/// The file's name, derived from the proxy's name, its address and the deployment.
 const STORED_FILE_NAME: &str = "notchdoor-n0_127_0_0_1_16379-3bfef9c3ba7e48d9.state";
 const DEPLOYMENT: u64 = 0x3bfe_f9c3_ba7e_48d9;
 
-/// A dir of this test's own, gone with it.
+/// A temporary directory with the stored state file, removed on drop.
 struct TempStateDir(PathBuf);
 
 impl TempStateDir {
@@ -60,7 +60,7 @@
 
 #[test]
 fn failed_disk_write_returns_an_error_and_leaves_the_state_file_unchanged() {
-    // A write to the one is refused as on a full disk; the other takes bytes and cannot sync them.
+    // Writes to /dev/full fail as on a full disk; /dev/null accepts writes but cannot be synced.
     for failing in ["/dev/full", "/dev/null"] {
         let dir = TempStateDir::with_stored_file(&failing[5..]);
         let mut joined = dir.join();
@@ -69,11 +69,11 @@
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
-        let problem = change.keep().expect_err("it says that it kept the change").to_string();
+        let problem = change.keep().expect_err("the change is reported as stored").to_string();
         assert!(problem.contains(".new: "), "{problem}");
         assert_eq!(std::fs::read_to_string(dir.0.join(STORED_FILE_NAME)).unwrap(), STORED_STATE, "{failing}");
-        assert!(!joined.state.is_drained("w9"), "it is heeded though it was said to fail");
-        // Well again: the next change is kept.
+        assert!(!joined.state.is_drained("w9"), "the failed change is in effect");
+        // The next change succeeds.
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
--- a/proxy/tests/session_end.rs
+++ b/proxy/tests/session_end.rs
@@ -1,4 +1,4 @@
-//! A client session that reads no further command: all that was read is answered, and nothing beyond it is read.
+//! A finished client session answers all commands that it has begun to read and reads no further ones.
 
 use notchdoor_proxy::proxy::Answer;
 use notchdoor_proxy::wire::client_session::{ClientSession, SessionEvent};
@@ -7,7 +7,7 @@
 
 const GET: &[&[u8]] = &[b"OBJ.GET", b"k", b"i", b"c=read,t=a,d=480"];
 
-/// Takes what has come, making room for a value that passes through: the sequences of the commands.
+/// Processes all available input, discarding streamed value chunks, and returns the sequence numbers of the commands.
 fn read_events(session: &mut ClientSession) -> Vec<u64> {
     let mut sequences = Vec::new();
     loop {
@@ -24,8 +24,8 @@
     }
 }
 
-/// Feeds a session so many bytes, has it finish, and goes on reading as it allows; how many bytes it read, and how many
-/// commands it took.
+/// Feeds `prefix_len` bytes to a session, finishes it, and feeds more bytes as long as it accepts them. Returns the number
+/// of bytes and of commands read.
 fn finish_after_prefix(bytes: &[u8], prefix_len: usize) -> (usize, usize) {
     let mut session = ClientSession::default();
     session.feed(&bytes[..prefix_len]);
@@ -34,7 +34,7 @@
     let mut read = prefix_len;
     while session.reads() && read < bytes.len() {
         let allowed = session.may_read().min(bytes.len() - read);
-        assert!(allowed > 0, "it would wait for nothing");
+        assert!(allowed > 0, "the session reads but accepts no bytes");
         session.feed(&bytes[read..read + allowed]);
         read += allowed;
         taken += read_events(&mut session).len();
@@ -54,7 +54,8 @@
         ends.push(bytes.len());
     }
     for prefix_len in 0..=bytes.len() {
-        let commands = ends.iter().position(|end| *end >= prefix_len).expect("within the bytes");
+        let commands =
+            ends.iter().position(|end| *end >= prefix_len).expect("prefix_len is within the input");
         assert_eq!(
             finish_after_prefix(&bytes, prefix_len),
             (ends[commands], commands),
@@ -86,7 +87,7 @@
     session.feed(&bytes[..partial_len]);
     assert!(session.next_event().is_some());
     session.answer(0, Answer::Served(b"v".to_vec()));
-    // One is with the proxy's driver, the next waits in the session, the last is half there.
+    // The second command is being processed, and the third is incomplete.
     assert!(session.next_event().is_some() && session.replies().awaits(1));
     assert_eq!(session.refuse_rest(), 1);
     assert_eq!(session.replies().output(), b"$1\r\nv\r\n-BUSY 1\r\n");
--- a/proxy/tests/stages.rs
+++ b/proxy/tests/stages.rs
@@ -1,5 +1,5 @@
-//! Every fault at every stage of a request, through the real proxy and module: events are fed at chosen times, no
-//! socket is open. docs/audit-findings.md has the table that names these cases.
+//! Injects every fault at every stage of a request and checks that the proxy and router keep the rules for requests.
+//! Events arrive at simulated times; no sockets are used.
 
 use notchdoor::*;
 use notchdoor_limits::policy_file::{parse, PolicyContext};
@@ -17,10 +17,10 @@
 const CLOCKS: ClockReading = ClockReading { monotonic: START, wall: UnixMicros(START) };
 const CLASSES: [&str; 3] = ["read", "fix", "close"];
 const BACKENDS: [&str; 4] = ["w0", "w1", "w2", "w3"];
-/// What well-behaved peers take over an answer.
+/// Time in microseconds that a healthy server takes to reply.
 const REPLY_DELAY: Micros = 5 * MS;
 
-/// One way in which decisions or the proxy could be wrong; the checks have to notice each.
+/// A defect that the harness simulates in the proxy; the checks must detect each one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     None,
@@ -51,7 +51,7 @@
     at: Micros,
     due: Micros,
     left: bool,
-    /// Since when nothing is out for it and it waits for nobody's fetch.
+    /// Since when the request has had no attempt in flight while no origin fetch was in flight.
     idle_since: Option<Micros>,
     answers: Vec<(Micros, Answer)>,
 }
@@ -66,9 +66,9 @@
     drained_since: BTreeMap<ServerId, Micros>,
     newest_backend: Option<ServerId>,
     delayed_answers: Vec<(u64, Answer)>,
-    /// A request that is over, and still has a backend at work.
+    /// The first request found with an attempt at a backend after the request had ended.
     uncancelled: Option<u64>,
-    /// The longest that a request may have nothing out and no answer.
+    /// Maximum time that an unanswered request may be idle, in microseconds.
     max_idle: Micros,
     rev: u64,
     home_backend: ServerId,
@@ -136,7 +136,7 @@
             deadlines: vec![2 * S, 2 * S, 600 * MS],
             tenants: vec![],
         };
-        let policy = policy.map(|text| Arc::new(parse("policy", text, &context).expect("a good file")));
+        let policy = policy.map(|text| Arc::new(parse("policy", text, &context).expect("valid policy")));
         let mut harness = Harness {
             proxy: Proxy::new(settings, names, policy, 7, CLOCKS),
             defect: Defect::None,
@@ -154,7 +154,7 @@
         };
         let all = BACKENDS.iter().chain(["o"].iter());
         harness.update_endpoints(true, all.map(|uid| target(uid, Readiness::InService, 0)).collect());
-        // The home_backend of the key that the cases are about.
+        // Find the home backend of the key "k", which the cases use.
         harness.send_request(1, 0, "k", 2 * S);
         harness.home_backend = harness.sent[0].server;
         harness.run(10 * S, |_| Some(AttemptOutcome::Served));
@@ -179,7 +179,7 @@
     }
 
     fn update_home_backend(&mut self, state: Readiness, boot: Micros) {
-        let uid = BACKENDS.iter().find(|uid| server_id(uid) == self.home_backend).expect("a backend");
+        let uid = BACKENDS.iter().find(|uid| server_id(uid) == self.home_backend).expect("known backend");
         self.update_endpoints(false, vec![target(uid, state, boot)]);
     }
 
@@ -203,12 +203,12 @@
     }
 
     fn client_leaves(&mut self, n: u64) {
-        self.requests.get_mut(&n).expect("asked").left = true;
+        self.requests.get_mut(&n).expect("known request").left = true;
         self.proxy.client_left(self.now, ReplySlot { connection: 1, sequence: n });
         self.apply_commands();
     }
 
-    /// Takes down what the proxy wants done, or what a broken one would.
+    /// Records the proxy's commands, altered by the simulated defect.
     fn apply_commands(&mut self) {
         for command in self.proxy.take_commands() {
             match command {
@@ -223,7 +223,7 @@
                 }
                 Command::Cancel(_) if self.defect == Defect::DropsCancels => {}
                 Command::Cancel(attempt_id) => {
-                    let (i, _) = self.outstanding.remove(&attempt_id).expect("out");
+                    let (i, _) = self.outstanding.remove(&attempt_id).expect("attempt in flight");
                     self.sent[i].ended = Some(AttemptOutcome::Cancelled);
                 }
                 Command::Answer(ReplySlot { sequence: n, .. }, answer) => match (self.defect, answer) {
@@ -249,23 +249,24 @@
                 Command::Watch | Command::DropConnections(_) => {}
             }
         }
-        let over = |n: &u64| self.requests[n].left || !self.requests[n].answers.is_empty();
-        let at_work = |s: &&SentAttempt| s.ended.is_none() && s.server != server_id("o");
-        let uncancelled = self.sent.iter().filter(at_work).map(|s| s.call.0).find(over);
+        let ended = |n: &u64| self.requests[n].left || !self.requests[n].answers.is_empty();
+        let at_backend = |s: &&SentAttempt| s.ended.is_none() && s.server != server_id("o");
+        let uncancelled = self.sent.iter().filter(at_backend).map(|s| s.call.0).find(ended);
         self.uncancelled = self.uncancelled.or(uncancelled);
         let fetching = self.sent.iter().any(|s| s.ended.is_none() && s.server == server_id("o"));
         for (n, record) in self.requests.iter_mut().filter(|(_, a)| a.answers.is_empty()) {
-            let out = self.sent.iter().any(|s| s.call.0 == *n && s.ended.is_none());
-            record.idle_since = if out || fetching { None } else { record.idle_since.or(Some(self.now)) };
+            let in_flight = self.sent.iter().any(|s| s.call.0 == *n && s.ended.is_none());
+            record.idle_since =
+                if in_flight || fetching { None } else { record.idle_since.or(Some(self.now)) };
         }
     }
 
     fn answer(&mut self, n: u64, answer: Answer) {
-        self.requests.get_mut(&n).expect("asked").answers.push((self.now, answer));
+        self.requests.get_mut(&n).expect("known request").answers.push((self.now, answer));
     }
 
     fn end_attempt(&mut self, attempt_id: AttemptId, outcome: AttemptOutcome) {
-        let (i, _) = self.outstanding.remove(&attempt_id).expect("out");
+        let (i, _) = self.outstanding.remove(&attempt_id).expect("attempt in flight");
         self.sent[i].ended = Some(outcome);
         let value = (outcome == AttemptOutcome::Served).then(|| b"v".to_vec());
         let took = answered(outcome).then(|| self.now - self.sent[i].at);
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Lets time pass. Peers do as `way` says, after a moment; one that says nothing is given up on.
+    /// Advances the time. Each attempt ends after [`REPLY_DELAY`] as `outcome_of` says; `None` makes it time out.
     fn run(&mut self, time: Micros, outcome_of: impl Fn(&SentAttempt) -> Option<AttemptOutcome>) {
         let until = self.now + time;
         loop {
@@ -290,14 +291,15 @@
             };
             let ended = self.outstanding.iter().map(ends);
             let due = self.proxy.next_due().map(|due| (due, None));
-            let back = self.delayed_answers.first().map(|(n, _)| {
+            let delayed = self.delayed_answers.first().map(|(n, _)| {
                 let late = if self.defect == Defect::AnswersLate { 100 * MS } else { 0 };
                 (self.requests[n].due + late, None)
             });
-            let next = ended.chain(due).chain(back).min_by_key(|(at, _)| *at).filter(|(at, _)| *at <= until);
+            let next =
+                ended.chain(due).chain(delayed).min_by_key(|(at, _)| *at).filter(|(at, _)| *at <= until);
             let Some((at, what)) = next else { break };
             self.now = self.now.max(at);
-            if back.is_some_and(|(due, _)| due <= self.now) {
+            if delayed.is_some_and(|(due, _)| due <= self.now) {
                 let (n, answer) = self.delayed_answers.remove(0);
                 self.answer(n, answer);
             }
@@ -312,12 +314,12 @@
         self.now = until;
     }
 
-    /// What a request has out.
+    /// Returns the attempts of a request that are in flight.
     fn outstanding_attempts(&self, n: u64) -> Vec<AttemptId> {
         self.outstanding.iter().filter(|(_, (i, _))| self.sent[*i].call.0 == n).map(|(d, _)| *d).collect()
     }
 
-    /// Every rule, at the end of a case; the first that is broken.
+    /// Checks every rule at the end of a case and returns the first violation.
     fn check(&self) -> Result<(), String> {
         for (n, a) in &self.requests {
             if a.answers.len() != usize::from(!a.left) {
@@ -328,12 +330,12 @@
             let possibly_executed: Vec<&SentAttempt> = sends.iter().filter(may_have_run).copied().collect();
             if let (2, Some(first)) = (a.class, possibly_executed.first()) {
                 if sends.iter().any(|s| s.at > first.at || possibly_executed.len() > 1) {
-                    return Err(format!("{n}: a write that may have run is sent again"));
+                    return Err(format!("{n}: a write that may have been executed is sent again"));
                 }
             }
             if let (1, Some(first)) = (a.class, possibly_executed.first()) {
                 if sends.iter().any(|s| s.at >= first.at + 2 * S) {
-                    return Err(format!("{n}: repeated after its window"));
+                    return Err(format!("{n}: sent again after its deduplication window"));
                 }
             }
             if sends.len() > 3 {
@@ -345,57 +347,58 @@
             }
             match answer {
                 Answer::Served(_) if !sends.iter().any(|s| s.ended == Some(AttemptOutcome::Served)) => {
-                    return Err(format!("{n}: served by nobody"));
+                    return Err(format!("{n}: answered as served, but no attempt was served"));
                 }
                 Answer::Rejected { .. } if a.class == 2 && !possibly_executed.is_empty() => {
-                    return Err(format!("{n}: refused though it may have run"));
+                    return Err(format!("{n}: rejected although it may have been executed"));
                 }
                 Answer::Rejected { retry_after } if *retry_after < MS => {
-                    return Err(format!("{n}: refused without a word on when to come back"));
+                    return Err(format!("{n}: rejected without a Retry-After"));
                 }
                 _ => {}
             }
             if a.idle_since.is_some_and(|since| *at > since.max(a.at) + self.max_idle) {
                 return Err(format!(
-                    "{n}: given up and answered {} us later",
+                    "{n}: answered {} us after it had become idle",
                     at - a.idle_since.unwrap_or(0)
                 ));
             }
         }
         if let Some(n) = self.uncancelled {
-            return Err(format!("{n}: over, and not called off"));
+            return Err(format!("{n}: ended, but an attempt was not cancelled"));
         }
         for s in &self.sent {
-            if self.drained_since.get(&s.server).is_some_and(|told| s.at > told + S) {
-                return Err(format!("{}: sent to a drained worker", s.call.0));
+            if self.drained_since.get(&s.server).is_some_and(|since| s.at > since + S) {
+                return Err(format!("{}: sent to a drained backend", s.call.0));
             }
         }
         if let Some(new) = self.newest_backend {
             let reads: Vec<&SentAttempt> = self.sent.iter().filter(|s| s.call.0 >= 1_000).collect();
             let cold = reads.iter().filter(|s| s.server == new).count();
             if cold * 6 > reads.len() {
-                return Err(format!("a cold worker was sent {cold} of {}", reads.len()));
+                return Err(format!("a cold backend was sent {cold} of {} reads", reads.len()));
             }
         }
         self.proxy.leaked_state().map_or(Ok(()), Err)
     }
 }
 
-/// How far a request has come.
+/// The stage of the request when the fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// Out at its backend: connecting, half written, written or half answered, as the outcome says.
+    /// An attempt is in flight at a backend; the outcome decides how far it has progressed.
     AtBackend,
-    /// Missed, and the fetch is out.
+    /// The backend missed and the origin fetch is in flight.
     Fetching,
-    /// It waits for another's fetch of its key.
+    /// The request waits for another request's fetch of the same key.
     WaitingForFetch,
-    /// Its backend is silent and a second copy is out.
+    /// The backend has not replied and a hedged request is in flight.
     Hedged,
-    /// Its backend has failed, and the layer holds the next attempt back for a moment.
+    /// The backend failed and the policy's backoff delays the retry.
     RetryDelayed,
-    /// A keyed write, and one that must not be repeated, out at the origin.
+    /// A write that the origin deduplicates is in flight.
     DeduplicatedWrite,
+    /// A write that must not be repeated is in flight.
     AtMostOnceWrite,
 }
 
@@ -403,7 +406,7 @@
 enum Fault {
     AttemptEnds(AttemptOutcome),
     ClientLeaves,
-    /// Nobody answers any more.
+    /// No server replies any more.
     Silence,
     OriginStops,
     Drains,
@@ -413,7 +416,7 @@
     DiscoveryStale,
 }
 
-/// What can happen whether anything is out or not.
+/// The faults that can occur with or without an attempt in flight.
 fn faults() -> Vec<Fault> {
     let of_request = [Fault::ClientLeaves, Fault::Silence, Fault::OriginStops];
     let of_list =
@@ -443,9 +446,9 @@
     cases
 }
 
-/// Plays one case and says what rule was defect, if any.
+/// Runs one case and returns the first violation, if any.
 fn run_case((stage, fault): (Stage, Fault), defect: Defect) -> Result<(), String> {
-    // Second copies are a layer's to grant, once it knows how long reads take.
+    // Only a policy sends hedged requests, once it has measured the latency of reads.
     let route = "[[route]]\nname = 'r'\nclass = 'read'\n";
     let policy = match stage {
         Stage::Hedged => Some(format!("{route}copies = {{ after = 0.5, share = 0.5 }}\n")),
@@ -453,7 +456,7 @@
         _ => None,
     };
     let mut harness = Harness::new(defect, policy.as_deref());
-    // A wait that a layer asks for is no answer held back.
+    // A retry delayed by the policy does not count as a delayed answer.
     harness.max_idle = if stage == Stage::RetryDelayed { 110 * MS } else { 10 * MS };
     let class = match stage {
         Stage::DeduplicatedWrite => 1,
@@ -461,7 +464,7 @@
         _ => 0,
     };
     if matches!(stage, Stage::WaitingForFetch | Stage::Hedged) {
-        // Among so many the key is no hot one, which would be read elsewhere too.
+        // With other keys in use, "k" is not a hot key, which would be read from other backends too.
         for n in 100..160 {
             harness.send_request(n, 0, &format!("x{n}"), 2 * S);
             harness.run(10 * MS, |_| Some(AttemptOutcome::Served));
@@ -494,7 +497,7 @@
     harness.now += REPLY_DELAY / 2;
     let (mut silent, mut stopped) = (false, false);
     match fault {
-        // Whom it waits for is who has something out.
+        // A waiting request has no attempt; end the one of the request that fetches.
         Fault::AttemptEnds(outcome) => {
             let n = if stage == Stage::WaitingForFetch { 10 } else { 11 };
             let first = harness.outstanding_attempts(n)[0];
@@ -525,8 +528,8 @@
         () if stopped && s.server == origin => Some(AttemptOutcome::ConnectRefused),
         () => Some(AttemptOutcome::Served),
     });
-    // What comes next is served, at the same backend too: at once or, where a balancer that asks so seldom took two
-    // silent backends for a jam of all, within a second.
+    // Later requests must be served, also by the same backend: within a second, if the router took two unresponsive
+    // backends for an overload of all.
     for n in 0..120 {
         harness.send_request(1_000 + n, 0, &format!("k{n}"), 2 * S);
         harness.run(10 * MS, |_| Some(AttemptOutcome::Served));
@@ -535,7 +538,7 @@
     let served = |a: &RequestRecord| matches!(a.answers.first(), Some((_, Answer::Served(_))));
     let unserved = harness.requests.range(1_080..).filter(|(_, a)| !served(a)).count();
     if unserved > 0 && defect == Defect::None {
-        return Err(format!("{unserved} of those that came later were not served"));
+        return Err(format!("{unserved} later requests were not served"));
     }
     harness.check()
 }
@@ -558,18 +561,18 @@
         (Defect::DropsAnswers, "0 answers"),
         (Defect::AnswersLate, " us late"),
         (Defect::RepeatsWrites, "is sent again"),
-        (Defect::RejectsExecuted, "refused though it may have run"),
-        (Defect::RejectsWithoutRetryAfter, "without a word"),
-        (Defect::DelaysFailures, "given up and answered"),
-        (Defect::IgnoresDrains, "to a drained worker"),
-        (Defect::FloodsNewBackend, "a cold worker was sent"),
-        (Defect::DropsCancels, "not called off"),
+        (Defect::RejectsExecuted, "rejected although it may have been executed"),
+        (Defect::RejectsWithoutRetryAfter, "rejected without a Retry-After"),
+        (Defect::DelaysFailures, "after it had become idle"),
+        (Defect::IgnoresDrains, "to a drained backend"),
+        (Defect::FloodsNewBackend, "a cold backend was sent"),
+        (Defect::DropsCancels, "not cancelled"),
     ] {
         let caught: Vec<String> =
             cases().into_iter().filter_map(|case| run_case(case, defect).err()).collect();
         assert!(
             caught.iter().any(|violation| violation.contains(expected)),
-            "{defect:?} is not caught: {caught:?}"
+            "{defect:?} is not detected: {caught:?}"
         );
     }
 }
