--- a/proxy/src/lifecycle/log/tests.rs
+++ b/proxy/src/lifecycle/log/tests.rs
@@ -1,11 +1,11 @@
-//! A record as JSON.
+//! Conversion of log records to JSON.
 
 use super::*;
 
 #[test]
-fn a_record_as_json_has_its_text_its_figures_and_what_every_record_has() {
+fn json_record_contains_common_fields_message_and_key_values() {
     let pairs = [("version", Value::from(41u64)), ("all", Value::from(true)), ("name", Value::from("x"))];
-    let json = json(
+    let json = to_json(
         &Record::builder()
             .args(format_args!("discovery: version 41, \"quoted\"\nand broken"))
             .level(log::Level::Info)
@@ -15,7 +15,7 @@
         12.5,
     );
     let text = json.to_string();
-    assert!(!text.contains('\n'), "one line a record: {text}");
+    assert!(!text.contains('\n'), "the record spans several lines: {text}");
     assert_eq!(
         json,
         serde_json::json!({"ts": 12.5, "level": "INFO", "name": "n3", "version": 41, "all": true,
--- a/proxy/src/wire/client_session.rs
+++ b/proxy/src/wire/client_session.rs
@@ -192,20 +192,20 @@
                 bytes.reserve_exact(value.len() + 16);
                 write_bulk(&mut bytes, &value);
             }
-            Answer::Refused { retry_after: 0 } => bytes.extend_from_slice(b"-BUSY\r\n"),
+            Answer::Rejected { retry_after: 0 } => bytes.extend_from_slice(b"-BUSY\r\n"),
             // Whole milliseconds, rounded up.
-            Answer::Refused { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 bytes.extend_from_slice(format!("-BUSY {}\r\n", retry_after.div_ceil(1000)).as_bytes());
             }
             Answer::Failed => bytes.extend_from_slice(b"-ERR failed\r\n"),
             Answer::Absent => bytes.extend_from_slice(b"$-1\r\n"),
-            Answer::PassedOn => return self.replies.end_relay(sequence),
-            Answer::Cut if self.replies.is_relaying(sequence) => {
+            Answer::Streamed => return self.replies.end_relay(sequence),
+            Answer::Truncated if self.replies.is_relaying(sequence) => {
                 self.replies.cut_relay();
                 return self.close();
             }
             // No part of the value has been sent, so an error can still be returned.
-            Answer::Cut => bytes.extend_from_slice(b"-ERR failed\r\n"),
+            Answer::Truncated => bytes.extend_from_slice(b"-ERR failed\r\n"),
         }
         self.queue_reply(sequence, bytes);
     }
@@ -305,7 +305,7 @@
         let mut sequences = self.replies.pending_sequences();
         sequences.retain(|sequence| !self.replies.is_relaying(*sequence));
         for sequence in &sequences {
-            self.answer(*sequence, Answer::Refused { retry_after: STOPPING_RETRY_AFTER_US });
+            self.answer(*sequence, Answer::Rejected { retry_after: STOPPING_RETRY_AFTER_US });
         }
         self.abort_incoming("the proxy is stopping");
         self.close();
--- a/proxy/src/wire/client_session/tests.rs
+++ b/proxy/src/wire/client_session/tests.rs
@@ -23,7 +23,7 @@
             3
         );
         session.pong(2, true);
-        session.answer(1, Answer::Refused { retry_after: 1_001 });
+        session.answer(1, Answer::Rejected { retry_after: 1_001 });
         assert_eq!(session.replies().output(), b"", "the first reply is still missing");
         assert_eq!(session.replies().unsent_bytes(), b"-BUSY 2\r\n+PONG\r\n".len());
         session.answer(0, Answer::Served(b"v".to_vec()));
@@ -66,7 +66,7 @@
     // An early answer is held back until the last byte of the value, and the rest of the value is skipped.
     let mut session = ClientSession::default();
     assert_eq!(feed_and_count_events(&mut session, &bytes[..body + MAX_VALUE]), 1);
-    session.answer(0, Answer::Refused { retry_after: 7_000 });
+    session.answer(0, Answer::Rejected { retry_after: 7_000 });
     assert_eq!(feed_and_count_events(&mut session, &bytes[body + MAX_VALUE..body + MAX_VALUE + 3]), 0);
     assert!(session.replies().output().is_empty() && session.unparsed_bytes() == 0);
     assert_eq!(feed_and_count_events(&mut session, &bytes[body + MAX_VALUE + 3..]), 1);
@@ -113,13 +113,13 @@
     whole.answer(1, Answer::Failed);
     whole.replies_mut().relay(b"e");
     assert_eq!((whole.replies().output(), whole.replies().has_relay()), (b"abcde".as_slice(), true));
-    whole.answer(0, Answer::PassedOn);
+    whole.answer(0, Answer::Streamed);
     assert_eq!(
         (whole.replies().output(), whole.replies().has_relay()),
         (b"abcde\r\n-ERR failed\r\n".as_slice(), false)
     );
     let mut cut = session_with_relay();
-    cut.answer(0, Answer::Cut);
+    cut.answer(0, Answer::Truncated);
     cut.replies_mut().relay(b"e");
     assert_eq!(
         (cut.replies().output(), cut.finished()),
@@ -133,7 +133,7 @@
     let mut bytes = Vec::new();
     write_command(&mut bytes, GET);
     assert_eq!(feed_and_count_events(&mut early, &bytes), 1);
-    early.answer(0, Answer::Cut);
+    early.answer(0, Answer::Truncated);
     assert_eq!((early.replies().output(), early.replies().was_cut()), (b"-ERR failed\r\n".as_slice(), false));
 }
 
--- a/proxy/src/wire/driver/attempt.rs
+++ b/proxy/src/wire/driver/attempt.rs
@@ -38,7 +38,7 @@
         let all = self.runtime.large_reply_bytes.get() - self.bytes + bytes;
         self.bytes = bytes;
         self.runtime.large_reply_bytes.set(all);
-        all <= self.runtime.room.get().large || bytes == 0
+        all <= self.runtime.room.get().large_value_bytes || bytes == 0
     }
 }
 
@@ -164,7 +164,7 @@
     // Not measured for streamed values: the time would include the transfer of bytes still buffered in the sockets.
     let response_time = timings.response_time().filter(|_| command.streamed.is_none() && timings.first > 0);
     let attempt_reply = AttemptReply { value: reply.value, took: response_time, waited: wait_time };
-    runtime.drive(|proxy, now| proxy.ended(now, attempt_id, reply.outcome, attempt_reply));
+    runtime.drive(|proxy, now| proxy.attempt_ended(now, attempt_id, reply.outcome, attempt_reply));
 }
 
 /// Waits until an attempt times out.
@@ -292,7 +292,7 @@
         let (unchanged, awaited) = {
             let proxy = self.proxy.borrow();
             let backend = proxy.endpoints.backend(server).filter(|w| w.serving && w.process() == process);
-            (backend.is_some(), proxy.awaited(attempt_id))
+            (backend.is_some(), proxy.reply_slot(attempt_id))
         };
         match awaited {
             Some(slot) if !self.client_has_left(slot.connection) => {}
@@ -380,7 +380,8 @@
                         ReplyPart::ValueStart(length) => {
                             progress.relaying.set(true);
                             let response_time = timings.response_time();
-                            client = runtime.drive(|proxy, now| proxy.begun(now, attempt_id, response_time));
+                            client = runtime
+                                .drive(|proxy, now| proxy.start_streaming(now, attempt_id, response_time));
                             client = await_relay(runtime, client).await;
                             if let Some(slot) = client {
                                 runtime
--- a/proxy/src/wire/driver/client/eviction.rs
+++ b/proxy/src/wire/driver/client/eviction.rs
@@ -83,14 +83,14 @@
         }
         // Their commands are incomplete and need no answer from the proxy.
         for slot in late_slots {
-            self.drive(|proxy, now| proxy.left(now, slot));
+            self.drive(|proxy, now| proxy.client_left(now, slot));
         }
     }
 
     /// Disconnects clients that do not read their replies while unsent replies use at least half of the request
     /// limit. Otherwise a few such clients would block all new requests.
     pub(in crate::wire::driver) fn disconnect_stalled(&self) {
-        if self.unsent_reply_bytes.get() / MAX_VALUE * 2 < self.room.get().taken {
+        if self.unsent_reply_bytes.get() / MAX_VALUE * 2 < self.room.get().requests {
             return;
         }
         let now = self.clock.now();
@@ -104,7 +104,7 @@
 
     /// Closes the connections with the oldest incomplete commands until these fit into their memory limit.
     pub(super) fn evict_partial_commands(&self) {
-        while self.partial_command_bytes.get() > self.room.get().half_read {
+        while self.partial_command_bytes.get() > self.room.get().partial_command_bytes {
             let clients = self.clients.borrow();
             // Complete commands that wait for admission are excluded.
             let partial = clients.values().filter(|c| c.partial_share.get() > 0 && c.partial_since.get() > 0);
--- a/proxy/src/wire/driver/client/mod.rs
+++ b/proxy/src/wire/driver/client/mod.rs
@@ -221,7 +221,7 @@
         client.session.borrow_mut().close();
         let sequences = client.session.borrow().replies().pending_sequences();
         for sequence in sequences {
-            self.drive(|proxy, now| proxy.left(now, ReplySlot { connection: id, sequence }));
+            self.drive(|proxy, now| proxy.client_left(now, ReplySlot { connection: id, sequence }));
         }
         client.relay_ready.notify(usize::MAX);
     }
--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -163,7 +163,8 @@
     /// Whether another request can be admitted. Each one, and each [`MAX_VALUE`] of unsent replies, counts as one
     /// towards the request limit.
     fn can_admit(&self) -> bool {
-        self.proxy.borrow().holds() + self.unsent_reply_bytes.get() / MAX_VALUE < self.room.get().taken
+        self.proxy.borrow().requests_in_flight() + self.unsent_reply_bytes.get() / MAX_VALUE
+            < self.room.get().requests
     }
 }
 
@@ -175,15 +176,15 @@
     let result = runtime.drive(|proxy, now| {
         let request = ClientRequest {
             id: command.id.clone(),
-            place: slot,
+            reply_slot: slot,
             class: command.class.clone(),
             tenant: command.tenant.clone(),
             key: command.key.clone(),
             write: command.value_len().is_some(),
-            due: read_at.saturating_add(wait),
+            deadline: read_at.saturating_add(wait),
             call: command,
         };
-        proxy.taken(now, request)
+        proxy.start_request(now, request)
     });
     if let Err(error) = result {
         runtime.proxy.borrow_mut().counters.rejected += 1;
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Hot restart: shares the listen address and the drain state between the old and the new process.
 
 use super::{client, Runtime};
-use crate::net::{Listener, Queued};
+use crate::net::{Listener, TryAccept};
 use crate::state::endpoints::AdministrativeDrains;
 use crate::state::hot_restart::{HotRestart, OtherProcess};
 use async_io::Timer;
@@ -113,11 +113,11 @@
 
     /// Applies this process's share of the limits among `processes` processes.
     fn apply_share(&self, processes: usize) {
-        let room = self.limits.room(processes);
+        let room = self.limits.per_process(processes);
         self.room.set(room);
-        self.client_budget.resize(room.clients);
-        self.upstream_budget.resize(room.upstream);
-        while self.upstream_budget.used() > room.upstream && self.pools.borrow_mut().evict() {}
+        self.client_budget.resize(room.client_connections);
+        self.upstream_budget.resize(room.upstream_connections);
+        while self.upstream_budget.used() > room.upstream_connections && self.pools.borrow_mut().evict() {}
     }
 
     /// Stops accepting connections. Empties the accept queue first, because closing the listener resets the
@@ -135,24 +135,24 @@
                 Timer::after(READY_POLL_INTERVAL).await;
                 continue;
             }
-            match listener.queued() {
-                Queued::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
+            match listener.try_accept() {
+                TryAccept::Connection(io) => client::admit(self, io, self.client_budget.overdraw()),
                 // A queued connection was aborted; the ones behind it can still be accepted.
-                Queued::Lost(error) if aborted < BACKLOG => {
+                TryAccept::Lost(error) if aborted < BACKLOG => {
                     self.accept_failed(&error);
                     aborted += 1;
                 }
                 // Descriptors or memory are short; retries until others are freed.
-                Queued::Shortage(error) if in_time => {
+                TryAccept::Shortage(error) if in_time => {
                     self.accept_failed(&error);
                     Timer::after(READY_POLL_INTERVAL).await;
                 }
-                Queued::Lost(error) | Queued::Shortage(error) => {
+                TryAccept::Lost(error) | TryAccept::Shortage(error) => {
                     log::warn!("acceptor: closed with connections left in the queue: {error}");
                     break;
                 }
                 // Closes the listener without yielding in between.
-                Queued::Empty => break,
+                TryAccept::Empty => break,
             }
         }
         drop(listener);
--- a/proxy/src/wire/driver/mod.rs
+++ b/proxy/src/wire/driver/mod.rs
@@ -11,7 +11,7 @@
 use super::command::BackendCommand;
 use crate::group::tasks::Tasks;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::config::{Config, Limits, Room};
+use crate::lifecycle::config::{Config, Limits, ProcessLimits};
 use crate::negative_cache::NegativeCache;
 use crate::net::{Listener, Reachability};
 use crate::outcome::ConnectionEnd;
@@ -100,7 +100,7 @@
     descriptors_short: Cell<bool>,
     limits: Limits,
     /// This process's share of `limits`.
-    room: Cell<Room>,
+    room: Cell<ProcessLimits>,
     /// Bytes of incomplete commands on all client connections.
     partial_command_bytes: Rc<Cell<usize>>,
     /// Bytes of unsent replies on all client connections.
@@ -136,7 +136,7 @@
         let proxy =
             Proxy::new(settings, config.settings.names(), config.policy, config.seed, clock.reading());
         let processes = 1 + hot_restart.as_ref().map_or(0, |h| h.others().len());
-        let room = config.limits.room(processes);
+        let room = config.limits.per_process(processes);
         let runtime = Rc::new(Runtime {
             proxy: RefCell::new(proxy),
             pools: RefCell::new(Pools::new(network.idle_close)),
@@ -152,8 +152,8 @@
             clock,
             network,
             discovery: Cell::new(config.discovery),
-            client_budget: Budget::new(room.clients),
-            upstream_budget: Budget::new(room.upstream),
+            client_budget: Budget::new(room.client_connections),
+            upstream_budget: Budget::new(room.upstream_connections),
             reachability: RefCell::default(),
             connect_failures: Cell::new(0),
             descriptors_short: Cell::new(false),
@@ -170,7 +170,7 @@
             negative_cache: fleet.negative_cache,
         });
         // The proxy starts its watch after the first endpoint update, even an empty one.
-        let known = config.known.unwrap_or(crate::state::endpoints::Update {
+        let known = config.known_endpoints.unwrap_or(crate::state::endpoints::Update {
             rev: 0,
             all: true,
             targets: Vec::new(),
@@ -319,7 +319,7 @@
 
     /// Number of requests in flight.
     pub fn requests_in_flight(&self) -> usize {
-        self.proxy.borrow().owed()
+        self.proxy.borrow().unanswered_requests()
     }
 
     /// Answers every request in flight and rejects all others, before the process exits.
@@ -351,7 +351,7 @@
         let proxy = self.proxy.borrow();
         let mut fields = proxy.counters.named();
         for (name, n) in [
-            ("owed", proxy.owed()),
+            ("owed", proxy.unanswered_requests()),
             ("clients", self.clients_open()),
             ("delegated", self.upstream_budget.used()),
         ] {
