--- a/proxy/src/group/ask.rs
+++ b/proxy/src/group/ask.rs
@@ -1,7 +1,7 @@
 //! One request to the group, by whoever has no connection to keep: operators, and a new member.
 
 use super::frames::Frames;
-use super::within;
+use super::with_timeout;
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
 use notchdoor_coordination::protocol::{Answer, Request};
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// A member answers one try within this time or is passed over.
-const TRY: Duration = Duration::from_millis(1500);
-const PAUSE: Duration = Duration::from_millis(100);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Asks one member once.
-pub async fn once(door: SocketAddr, request: &Request) -> io::Result<Answer> {
-    let asked = async {
-        let io = Async::<TcpStream>::connect(door).await?;
+pub async fn once(endpoint: SocketAddr, request: &Request) -> io::Result<Answer> {
+    let exchange = async {
+        let io = Async::<TcpStream>::connect(endpoint).await?;
         let mut bytes = Vec::new();
         encode(&Frame::Ask { req: 1, request: request.clone() }, &mut bytes);
         (&io).write_all(&bytes).await?;
@@ -28,34 +28,34 @@
             None => Err(io::ErrorKind::UnexpectedEof.into()),
         }
     };
-    within(TRY, asked).await
+    with_timeout(ATTEMPT_TIMEOUT, exchange).await
 }
 
 /// Asks until the leader has answered or the time is up; the error says who could not be asked. A
 /// request is sent again where its answer did not come: each of them is safe to repeat.
-pub async fn leader(doors: &[Endpoint], request: &Request, limit: Duration) -> Result<Answer, String> {
-    let until = Instant::now() + limit;
-    let mut door = doors.first().ok_or("no member to ask")?.1;
-    let mut why = String::from("nobody was asked");
-    while Instant::now() < until {
-        let pause = match once(door, request).await {
+pub async fn leader(endpoints: &[Endpoint], request: &Request, timeout: Duration) -> Result<Answer, String> {
+    let deadline = Instant::now() + timeout;
+    let mut endpoint = endpoints.first().ok_or("no member to ask")?.1;
+    let mut last_error = String::from("nobody was asked");
+    while Instant::now() < deadline {
+        let delay = match once(endpoint, request).await {
             Ok(Answer::NotLeader { leader, at }) => {
-                why = format!("{door} does not lead and knows of no other that does");
-                door = next_endpoint(doors, door, leader, at);
-                PAUSE
+                last_error = format!("{endpoint} does not lead and knows of no other that does");
+                endpoint = next_endpoint(endpoints, endpoint, leader, at);
+                RETRY_DELAY
             }
             Ok(Answer::Later { retry_after_ms }) => {
-                why = format!("{door} asks to come again later");
+                last_error = format!("{endpoint} asks to come again later");
                 Duration::from_millis(retry_after_ms)
             }
             Ok(answer) => return Ok(answer),
             Err(error) => {
-                why = format!("{door}: {error}");
-                door = next_endpoint(doors, door, None, None);
-                PAUSE
+                last_error = format!("{endpoint}: {error}");
+                endpoint = next_endpoint(endpoints, endpoint, None, None);
+                RETRY_DELAY
             }
         };
-        Timer::after(pause.min(until.saturating_duration_since(Instant::now()))).await;
+        Timer::after(delay.min(deadline.saturating_duration_since(Instant::now()))).await;
     }
-    Err(format!("the group did not answer in {} ms: {why}", limit.as_millis()))
+    Err(format!("the group did not answer in {} ms: {last_error}", timeout.as_millis()))
 }
--- a/proxy/src/group/mod.rs
+++ b/proxy/src/group/mod.rs
@@ -14,11 +14,11 @@
 
 /// A monotonic clock in milliseconds, from the start of the process's part in the group.
 #[derive(Clone, Copy)]
-pub(crate) struct Ticks(Instant);
+pub(crate) struct MonotonicClock(Instant);
 
-impl Ticks {
-    pub(crate) fn start() -> Ticks {
-        Ticks(Instant::now())
+impl MonotonicClock {
+    pub(crate) fn start() -> MonotonicClock {
+        MonotonicClock(Instant::now())
     }
 
     pub(crate) fn now(&self) -> Millis {
@@ -32,7 +32,10 @@
 }
 
 /// The work, or an error once the time is up.
-pub(crate) async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub(crate) async fn with_timeout<T>(
+    limit: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let late = async {
         async_io::Timer::after(limit).await;
         Err(io::Error::new(io::ErrorKind::TimedOut, format!("nothing for {} ms", limit.as_millis())))
@@ -49,6 +52,6 @@
 }
 
 /// A number that no earlier start of this process had, as far as chance goes.
-pub(crate) fn fresh_number() -> u64 {
+pub(crate) fn random_id() -> u64 {
     rand::random()
 }
--- a/proxy/src/group/node.rs
+++ b/proxy/src/group/node.rs
@@ -7,7 +7,7 @@
 mod events;
 mod peers;
 
-use super::{ask, fresh_number, Ticks};
+use super::{ask, random_id, MonotonicClock};
 use crate::lifecycle::log::{self, Format};
 use crate::lifecycle::signals::{Signal, Signals};
 use ::log::{info, warn};
@@ -31,33 +31,33 @@
 use std::time::{Duration, Instant};
 
 /// What has come and waits for its turn; whoever brings more waits with it.
-const INBOX: usize = 4096;
-const CONNECT: Duration = Duration::from_secs(1);
-const DIAL_AGAIN: Duration = Duration::from_millis(100);
+const MAX_QUEUED_EVENTS: usize = 4096;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// A new member asks the others so often how to and says so often for whom it waits.
-const HELLO_AGAIN: Duration = Duration::from_millis(200);
-const SAY_AGAIN: Duration = Duration::from_secs(5);
+const HELLO_INTERVAL: Duration = Duration::from_millis(200);
+const WAIT_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// A leader that stops waits so long for another to take the lead.
-const HANDING_OVER: Duration = Duration::from_secs(2);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
 enum Inbound {
     Peer(Message),
-    Ask(u64, u64, Request),
+    Request(u64, u64, Request),
     Unreachable(u64),
-    Snapshot(u64, bool),
+    SnapshotSent(u64, bool),
 }
 
 /// The way to a member.
-struct Peer {
+struct PeerQueue {
     /// What waits for it.
     frames: Sender<Frame>,
     /// Keeps the connection for as long as this lives.
     _connection: Task<()>,
 }
 
-/// Figures of the sockets, for `status`.
+/// Counters of the sockets, for `status`.
 #[derive(Default)]
-struct Figures {
+struct SocketCounters {
     messages_out: Cell<u64>,
     bytes_out: Cell<u64>,
     messages_in: Cell<u64>,
@@ -68,8 +68,8 @@
     dropped: Cell<u64>,
 }
 
-fn add(figure: &Cell<u64>, n: usize) {
-    figure.set(figure.get() + n as u64);
+fn add_to_counter(counter: &Cell<u64>, n: usize) {
+    counter.set(counter.get() + n as u64);
 }
 
 /// A client's request: whose it is, and the client's own number of it.
@@ -80,22 +80,22 @@
 
 /// Requests that wait for a round, by the node's number of them.
 #[derive(Default)]
-struct Waiting {
+struct PendingRequests {
     requests: HashMap<u64, ClientRequest>,
     last: u64,
 }
 
-struct Host {
+struct MemberRuntime {
     config: GroupConfig,
     executor: Rc<LocalExecutor<'static>>,
     inbox: Sender<Inbound>,
     clients: RefCell<HashMap<u64, Sender<Frame>>>,
     next_client: Cell<u64>,
-    peers: RefCell<BTreeMap<u64, Peer>>,
+    peers: RefCell<BTreeMap<u64, PeerQueue>>,
     /// What a hello is answered with.
     hello: RefCell<Handshake>,
     live: Cell<bool>,
-    figures: Figures,
+    counters: SocketCounters,
 }
 
 /// Runs a member until a signal asks for a stop. The error is one line.
@@ -105,7 +105,7 @@
     std::fs::create_dir_all(&config.data)
         .map_err(|e| format!("group.data: cannot make {}: {e}", config.data.display()))?;
     let file = config.data.join("member.redb");
-    let (store, stage) = DiskStore::open(&file, config.id, fresh_number()).map_err(|e| e.to_string())?;
+    let (store, stage) = DiskStore::open(&file, config.id, random_id()).map_err(|e| e.to_string())?;
     let me = *config.me();
     let bind = |what: &str, at: SocketAddr| {
         Async::<TcpListener>::bind(at).map_err(|e| format!("member.{what}: cannot listen on {at}: {e}"))
@@ -113,8 +113,8 @@
     let (peers, clients) = (bind("peer", me.peer)?, bind("client", me.client)?);
     info!(member = me.id, peer:% = me.peer, client:% = me.client; "started, member {} at {}, clients at {}", me.id, me.peer, me.client);
     let executor = Rc::new(LocalExecutor::new());
-    let (inbox, inbound) = async_channel::bounded(INBOX);
-    let host = Rc::new(Host {
+    let (inbox, inbound) = async_channel::bounded(MAX_QUEUED_EVENTS);
+    let runtime = Rc::new(MemberRuntime {
         config,
         executor: Rc::clone(&executor),
         inbox,
@@ -123,69 +123,69 @@
         peers: RefCell::default(),
         hello: RefCell::new(Handshake::New { at: me, number: store.number() }),
         live: Cell::new(false),
-        figures: Figures::default(),
+        counters: SocketCounters::default(),
     });
-    executor.spawn(Rc::clone(&host).accept_peers(peers)).detach();
-    executor.spawn(Rc::clone(&host).accept_clients(clients)).detach();
-    async_io::block_on(executor.run(host.live(store, stage, inbound, signals)))
+    executor.spawn(Rc::clone(&runtime).accept_peers(peers)).detach();
+    executor.spawn(Rc::clone(&runtime).accept_clients(clients)).detach();
+    async_io::block_on(executor.run(runtime.run(store, stage, inbound, signals)))
 }
 
-impl Host {
-    async fn live(
+impl MemberRuntime {
+    async fn run(
         self: &Rc<Self>,
         store: DiskStore,
         stage: Stage,
         inbound: Receiver<Inbound>,
         mut signals: Signals,
     ) -> Result<(), String> {
-        let beginning = async {
+        let bootstrap = async {
             match stage {
                 Stage::Member(founders) => Ok(Some(founders)),
-                Stage::New => self.begin(&store).await.map(Some),
+                Stage::New => self.bootstrap(&store).await.map(Some),
             }
         };
         let stopped = async {
-            self.stop_asked(&mut signals).await;
+            self.stop_signal(&mut signals).await;
             Ok(None)
         };
-        let Some(founders) = future::or(beginning, stopped).await? else { return Ok(()) };
+        let Some(founders) = future::or(bootstrap, stopped).await? else { return Ok(()) };
         let begin = RaftNodeConfig {
             id: self.config.id,
-            start: fresh_number(),
+            start: random_id(),
             founders: founders.clone(),
             pace: self.config.pace,
             bounds: self.config.bounds.clone(),
             terms: self.config.terms,
             guard: self.config.guard.clone(),
         };
-        let ticks = Ticks::start();
-        let member = RaftNode::new(begin, store, ticks.now()).map_err(|e| format!("the store: {e}"))?;
+        let clock = MonotonicClock::start();
+        let member = RaftNode::new(begin, store, clock.now()).map_err(|e| format!("the store: {e}"))?;
         self.hello.replace(Handshake::Live { founders: founders.clone(), book: member.book().clone() });
         self.live.set(true);
         let applied = member.table().applied();
         info!(applied; "member of a group, state up to entry {applied}");
-        self.lead_or_follow(member, founders, ticks, inbound, signals).await
+        self.run_member(member, founders, clock, inbound, signals).await
     }
 
     /// How a new store starts: see `docs/leases-design.md`. Nothing is voted before this ends.
-    async fn begin(&self, store: &DiskStore) -> Result<Membership, String> {
+    async fn bootstrap(&self, store: &DiskStore) -> Result<Membership, String> {
         let me = *self.config.me();
         let others: Vec<MemberAddr> = self.config.members.iter().filter(|m| m.id != me.id).copied().collect();
         let ids: Vec<u64> = others.iter().map(|m| m.id).collect();
-        let doors: Vec<Endpoint> = others.iter().map(|m| (m.id, m.client)).collect();
-        let mut said = None::<Instant>;
+        let endpoints: Vec<Endpoint> = others.iter().map(|m| (m.id, m.client)).collect();
+        let mut last_logged = None::<Instant>;
         loop {
-            let mut heard = BTreeMap::new();
+            let mut hellos = BTreeMap::new();
             for other in &others {
                 if let Ok(Answer::Hello(hello)) = ask::once(other.client, &Request::Hello).await {
-                    heard.insert(other.id, hello);
+                    hellos.insert(other.id, hello);
                 }
             }
-            let founders = match decide_start(me, store.number(), &ids, &heard) {
+            let founders = match decide_start(me, store.number(), &ids, &hellos) {
                 StartDecision::Go(founders) => founders,
                 StartDecision::Enlist(founders) => {
                     let enlist = Request::Enlist { id: me.id, number: store.number() };
-                    match ask::leader(&doors, &enlist, SAY_AGAIN).await {
+                    match ask::leader(&endpoints, &enlist, WAIT_LOG_INTERVAL).await {
                         Ok(Answer::Enlisted(true)) => founders,
                         // Another store of this id was faster: the next hello says so.
                         Ok(_) => continue,
@@ -197,11 +197,11 @@
                 }
                 StartDecision::Refuse(why) => return Err(why),
                 StartDecision::Wait(missing) => {
-                    if said.is_none_or(|at| at.elapsed() >= SAY_AGAIN) {
-                        said = Some(Instant::now());
+                    if last_logged.is_none_or(|at| at.elapsed() >= WAIT_LOG_INTERVAL) {
+                        last_logged = Some(Instant::now());
                         info!(missing:? = missing; "a new store: waiting for members {missing:?}");
                     }
-                    Timer::after(HELLO_AGAIN).await;
+                    Timer::after(HELLO_INTERVAL).await;
                     continue;
                 }
             };
@@ -210,7 +210,7 @@
         }
     }
 
-    async fn stop_asked(&self, signals: &mut Signals) {
+    async fn stop_signal(&self, signals: &mut Signals) {
         loop {
             match signals.next().await {
                 Signal::Term | Signal::Int => return info!("stopping"),
@@ -219,18 +219,18 @@
         }
     }
 
-    async fn lead_or_follow(
+    async fn run_member(
         self: &Rc<Self>,
         mut member: RaftNode<DiskStore>,
         founders: Membership,
-        ticks: Ticks,
+        clock: MonotonicClock,
         inbound: Receiver<Inbound>,
         mut signals: Signals,
     ) -> Result<(), String> {
         let tick = Duration::from_millis(self.config.pace.tick_ms / 2);
-        let mut waiting = Waiting::default();
+        let mut pending = PendingRequests::default();
         let mut stopping = None::<Instant>;
-        let mut stop = Box::pin(self.stop_asked(&mut signals));
+        let mut stop = Box::pin(self.stop_signal(&mut signals));
         loop {
             let first = {
                 let event = async { inbound.recv().await.ok() };
@@ -251,43 +251,46 @@
                 future::or(leaving, future::or(event, tick)).await
             };
             if let Some(since) = stopping {
-                if member.leads() && since.elapsed() < HANDING_OVER && member.book().members().len() > 1 {
+                if member.leads()
+                    && since.elapsed() < LEADERSHIP_TRANSFER_TIMEOUT
+                    && member.book().members().len() > 1
+                {
                     member.transfer_leadership();
                 } else {
                     info!("stopped");
                     return Ok(());
                 }
             }
-            self.feed(&mut member, &mut waiting, first, &inbound);
-            self.round(&mut member, &mut waiting, &founders, ticks.now())?;
+            self.process_inbound(&mut member, &mut pending, first, &inbound);
+            self.advance(&mut member, &mut pending, &founders, clock.now())?;
         }
     }
 
     /// Feeds what has come, up to a bound, so that many requests share one round and its fsync.
-    fn feed(
+    fn process_inbound(
         &self,
         member: &mut RaftNode<DiskStore>,
-        waiting: &mut Waiting,
+        pending: &mut PendingRequests,
         first: Option<Inbound>,
         inbound: &Receiver<Inbound>,
     ) {
         let mut next = first;
-        let mut taken = 0;
+        let mut processed = 0;
         while let Some(event) = next {
             match event {
                 Inbound::Peer(message) => member.step(message),
                 Inbound::Unreachable(id) => member.unreachable(id),
-                Inbound::Snapshot(id, whole) => member.snapshot_sent(id, whole),
-                Inbound::Ask(client, req, request) => {
-                    waiting.last += 1;
-                    match member.ask(waiting.last, request) {
+                Inbound::SnapshotSent(id, whole) => member.snapshot_sent(id, whole),
+                Inbound::Request(client, req, request) => {
+                    pending.last += 1;
+                    match member.ask(pending.last, request) {
                         Some(answer) => self.answer(client, req, answer, member),
-                        None => drop(waiting.requests.insert(waiting.last, ClientRequest { client, req })),
+                        None => drop(pending.requests.insert(pending.last, ClientRequest { client, req })),
                     }
                 }
             }
-            taken += 1;
-            next = (taken < INBOX).then(|| inbound.try_recv().ok()).flatten();
+            processed += 1;
+            next = (processed < MAX_QUEUED_EVENTS).then(|| inbound.try_recv().ok()).flatten();
         }
     }
 
@@ -295,10 +298,10 @@
     ///
     /// An error ends the process. A failed write or sync leaves it open what the disk has, and a member that went on
     /// could promise entries or a vote that a restart does not find; the others go on without it.
-    fn round(
+    fn advance(
         self: &Rc<Self>,
         member: &mut RaftNode<DiskStore>,
-        waiting: &mut Waiting,
+        pending: &mut PendingRequests,
         founders: &Membership,
         now: Millis,
     ) -> Result<(), String> {
@@ -308,7 +311,7 @@
             warn!(term = member.status().term; "no leader");
         }
         for (number, answer) in out.answers {
-            if let Some(ClientRequest { client, req }) = waiting.requests.remove(&number) {
+            if let Some(ClientRequest { client, req }) = pending.requests.remove(&number) {
                 self.answer(client, req, answer, member);
             }
         }
--- a/proxy/src/group/node/accept.rs
+++ b/proxy/src/group/node/accept.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The pause after an accept that failed for want of descriptors or memory.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The next connection; `None` where there is none yet.
 pub(super) async fn accept(listener: &Async<TcpListener>) -> Option<Async<TcpStream>> {
@@ -17,9 +17,9 @@
         }
         Err(error) => {
             debug!("cannot accept: {error}");
-            if !accepts_at_once_again(&error) {
+            if !is_connection_error(&error) {
                 // Out of descriptors or memory: the next try does better once some are given back.
-                Timer::after(ACCEPT_AGAIN).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None
         }
@@ -27,7 +27,7 @@
 }
 
 /// Whether an error of accept is that of one connection, or no error at all: others wait behind it.
-fn accepts_at_once_again(error: &std::io::Error) -> bool {
+fn is_connection_error(error: &std::io::Error) -> bool {
     /// A protocol error of the connection, as Linux passes it on.
     const EPROTO: i32 = 71;
     matches!(error.kind(), std::io::ErrorKind::Interrupted | std::io::ErrorKind::ConnectionAborted)
--- a/proxy/src/group/node/clients.rs
+++ b/proxy/src/group/node/clients.rs
@@ -1,9 +1,9 @@
 //! A member's connections with clients: requests in, answers out.
 
 use super::accept::accept;
-use super::{add, Host, Inbound, HELLO_AGAIN};
+use super::{add_to_counter, Inbound, MemberRuntime, HELLO_INTERVAL};
 use crate::group::frames::{self, Frames};
-use crate::group::within;
+use crate::group::with_timeout;
 use ::log::debug;
 use async_channel::Receiver;
 use async_io::Async;
@@ -18,17 +18,17 @@
 use std::time::Duration;
 
 /// Connections of clients at the most.
-const MOST_CLIENTS: usize = 4096;
+const MAX_CLIENT_CONNECTIONS: usize = 4096;
 /// Frames that wait for one client; one that takes less is cut off.
-const TO_CLIENT: usize = 256;
+const MAX_QUEUED_CLIENT_FRAMES: usize = 256;
 /// A client that asks nothing for so long is let go.
-const IDLE: Duration = Duration::from_secs(120);
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-impl Host {
+impl MemberRuntime {
     pub(super) fn answer(&self, client: u64, req: u64, mut answer: Answer, member: &RaftNode<DiskStore>) {
         if let Answer::Status(status) = &mut answer {
-            let f = &self.figures;
-            let figures = [
+            let f = &self.counters;
+            let counters = [
                 ("messages_out", &f.messages_out),
                 ("bytes_out", &f.bytes_out),
                 ("messages_in", &f.messages_in),
@@ -38,7 +38,7 @@
                 ("client_bytes_out", &f.client_bytes_out),
                 ("dropped", &f.dropped),
             ];
-            status.figures = figures.into_iter().map(|(name, n)| (name.to_owned(), n.get())).collect();
+            status.figures = counters.into_iter().map(|(name, n)| (name.to_owned(), n.get())).collect();
             status.figures.insert("syncs".to_owned(), member.store().syncs());
             status.figures.insert("clients".to_owned(), self.clients.borrow().len() as u64);
         }
@@ -56,43 +56,48 @@
     pub(super) async fn accept_clients(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             let Some(io) = accept(&listener).await else { continue };
-            if self.clients.borrow().len() >= MOST_CLIENTS {
-                debug!("a client's connection is closed: {MOST_CLIENTS} are open");
+            if self.clients.borrow().len() >= MAX_CLIENT_CONNECTIONS {
+                debug!("a client's connection is closed: {MAX_CLIENT_CONNECTIONS} are open");
                 continue;
             }
             let client = self.next_client.get();
             self.next_client.set(client + 1);
-            let (sender, answers) = async_channel::bounded(TO_CLIENT);
+            let (sender, answers) = async_channel::bounded(MAX_QUEUED_CLIENT_FRAMES);
             self.clients.borrow_mut().insert(client, sender);
-            self.executor.spawn(Rc::clone(&self).serve(client, io, answers)).detach();
+            self.executor.spawn(Rc::clone(&self).serve_client(client, io, answers)).detach();
         }
     }
 
-    pub(super) async fn serve(self: Rc<Self>, client: u64, io: Async<TcpStream>, answers: Receiver<Frame>) {
+    pub(super) async fn serve_client(
+        self: Rc<Self>,
+        client: u64,
+        io: Async<TcpStream>,
+        answers: Receiver<Frame>,
+    ) {
         let written = async {
-            let sent = |_: &[Frame], bytes: usize| add(&self.figures.client_bytes_out, bytes);
+            let sent = |_: &[Frame], bytes: usize| add_to_counter(&self.counters.client_bytes_out, bytes);
             if let Err(error) = frames::write(&io, &answers, sent).await {
                 debug!("a client's connection: {error}");
             }
         };
-        future::or(self.take_asks(client, &io), written).await;
+        future::or(self.read_requests(client, &io), written).await;
         self.clients.borrow_mut().remove(&client);
     }
 
-    pub(super) async fn take_asks(&self, client: u64, io: &Async<TcpStream>) {
+    pub(super) async fn read_requests(&self, client: u64, io: &Async<TcpStream>) {
         let mut frames = Frames::new(io, MAX_CLIENT_FRAME_BYTES);
         loop {
-            match within(IDLE, frames.next()).await {
+            match with_timeout(CLIENT_IDLE_TIMEOUT, frames.next()).await {
                 Ok(Some((Frame::Ask { req, request }, bytes))) => {
-                    add(&self.figures.asks, 1);
-                    add(&self.figures.client_bytes_in, bytes);
+                    add_to_counter(&self.counters.asks, 1);
+                    add_to_counter(&self.counters.client_bytes_in, bytes);
                     if request == Request::Hello {
                         let answer = Answer::Hello(self.hello.borrow().clone());
                         self.reply(client, Frame::Answer { req, answer });
                     } else if !self.live.get() {
-                        let answer = Answer::Later { retry_after_ms: HELLO_AGAIN.as_millis() as Millis };
+                        let answer = Answer::Later { retry_after_ms: HELLO_INTERVAL.as_millis() as Millis };
                         self.reply(client, Frame::Answer { req, answer });
-                    } else if self.inbox.send(Inbound::Ask(client, req, request)).await.is_err() {
+                    } else if self.inbox.send(Inbound::Request(client, req, request)).await.is_err() {
                         return;
                     }
                 }
--- a/proxy/src/group/tasks.rs
+++ b/proxy/src/group/tasks.rs
@@ -2,7 +2,7 @@
 //! again, with its token. Nothing that serves clients waits on any of this.
 
 use super::frames::Frames;
-use super::{fresh_number, within, Ticks};
+use super::{random_id, with_timeout, MonotonicClock};
 use crate::wire::http::{Decoder, Part};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -19,56 +19,56 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A call that takes longer is given up, and so is one that its holder's time runs out on.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The status with which the side that is acted on refuses an old token.
-const FENCED: u16 = 409;
+const STALE_TOKEN_STATUS: u16 = 409;
 
 /// The fleet-wide tasks of one process.
 pub struct Tasks {
     config: TasksConfig,
     holder: String,
     session: RefCell<Session>,
-    ticks: Ticks,
+    clock: MonotonicClock,
     /// Something has changed that the connection to the group should see to.
-    poke: (Sender<()>, Receiver<()>),
+    session_changed: (Sender<()>, Receiver<()>),
     /// The group has said something about versions.
-    planned: (Sender<()>, Receiver<()>),
-    /// Whether the group was last told to be reached, once it was told at all.
-    reached: Cell<Option<bool>>,
-    /// What each task was last told to be, for one log line a change.
-    told: RefCell<Vec<Option<u64>>>,
+    versions_changed: (Sender<()>, Receiver<()>),
+    /// Whether the group was last logged as reached; `None` before the first log line.
+    group_reached: Cell<Option<bool>>,
+    /// The token last logged for each task, so that each change is logged once.
+    logged_tokens: RefCell<Vec<Option<u64>>>,
 }
 
 impl Tasks {
     /// Begins to want the file's tasks. The holder is this start of the process alone: an upgrade's
     /// two processes, or one before and after a crash, are two holders.
     pub fn start(config: TasksConfig, name: &str, executor: &LocalExecutor<'static>) -> Rc<Tasks> {
-        let number = fresh_number();
-        let plain: String =
+        let number = random_id();
+        let sanitized: String =
             name.chars().filter(|c| c.is_ascii_alphanumeric() || "._-".contains(*c)).take(64).collect();
-        let holder = format!("{plain}:{number:016x}");
-        let wanted: Vec<_> = config.tasks.iter().map(|t| (t.name.clone(), t.ttl_ms)).collect();
-        let mut session = Session::new(config.members.clone(), &holder, &wanted, config.drift, number);
+        let holder = format!("{sanitized}:{number:016x}");
+        let requested: Vec<_> = config.tasks.iter().map(|t| (t.name.clone(), t.ttl_ms)).collect();
+        let mut session = Session::new(config.members.clone(), &holder, &requested, config.drift, number);
         if config.guard.is_some() {
             session = session.with_versions(config.drift);
         }
         let tasks = Rc::new(Tasks {
-            reached: Cell::new(None),
-            told: RefCell::new(vec![None; wanted.len()]),
+            group_reached: Cell::new(None),
+            logged_tokens: RefCell::new(vec![None; requested.len()]),
             config,
             holder,
             session: RefCell::new(session),
-            ticks: Ticks::start(),
-            poke: async_channel::bounded(1),
-            planned: async_channel::bounded(1),
+            clock: MonotonicClock::start(),
+            session_changed: async_channel::bounded(1),
+            versions_changed: async_channel::bounded(1),
         });
-        let (count, holder) = (wanted.len(), &tasks.holder);
+        let (count, holder) = (requested.len(), &tasks.holder);
         log::info!(tasks = count, holder; "leases: {count} tasks of the fleet wanted, as {holder}");
-        executor.spawn(Rc::clone(&tasks).keep()).detach();
-        for place in 0..count {
-            executor.spawn(Rc::clone(&tasks).act(place)).detach();
+        executor.spawn(Rc::clone(&tasks).keep_connected()).detach();
+        for index in 0..count {
+            executor.spawn(Rc::clone(&tasks).run_task(index)).detach();
         }
         tasks
     }
@@ -82,45 +82,45 @@
     /// off it is.
     pub async fn planned(&self) -> Vec<(Duration, Option<Version>)> {
         // The sender lives as long as this does.
-        let _ = self.planned.1.recv().await;
-        let now = self.ticks.now();
+        let _ = self.versions_changed.1.recv().await;
+        let now = self.clock.now();
         let plan = self.session.borrow_mut().versions().map(|v| v.plan(now)).unwrap_or_default();
         plan.into_iter().map(|(at, v)| (Duration::from_millis(at.saturating_sub(now)), v)).collect()
     }
 
     /// Gives the grants back, so that others need not wait for their end. Acting ends at once.
     pub fn leave(&self) {
-        self.session.borrow_mut().release_all(self.ticks.now());
-        let _ = self.poke.0.try_send(());
+        self.session.borrow_mut().release_all(self.clock.now());
+        let _ = self.session_changed.0.try_send(());
     }
 
     /// Keeps the connection to the group.
-    async fn keep(self: Rc<Self>) {
+    async fn keep_connected(self: Rc<Self>) {
         loop {
-            let (door, at) = self.session.borrow().current_member();
-            Timer::at(self.ticks.instant(at)).await;
-            let ended = match within(CONNECT, Async::<TcpStream>::connect(door)).await {
+            let (endpoint, at) = self.session.borrow().current_member();
+            Timer::at(self.clock.instant(at)).await;
+            let ended = match with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(endpoint)).await {
                 Ok(io) => {
                     let _ = io.get_ref().set_nodelay(true);
-                    self.talk(&io).await
+                    self.run_session(&io).await
                 }
                 Err(error) => Err(error),
             };
             if let Err(error) = ended {
-                self.session.borrow_mut().connection_failed(self.ticks.now());
-                if self.reached.replace(Some(false)) != Some(false) {
-                    log::warn!(door:%; "leases: {door} not reached, serving goes on without: {error}");
+                self.session.borrow_mut().connection_failed(self.clock.now());
+                if self.group_reached.replace(Some(false)) != Some(false) {
+                    log::warn!(endpoint:%; "leases: {endpoint} not reached, serving goes on without: {error}");
                 }
             }
-            self.tell();
+            self.log_lease_changes();
         }
     }
 
     /// Asks one member until another is to be asked, or this one is of no use.
-    async fn talk(&self, io: &Async<TcpStream>) -> io::Result<()> {
+    async fn run_session(&self, io: &Async<TcpStream>) -> io::Result<()> {
         let (mut frames, mut writer) = (Frames::new(io, MAX_CLIENT_FRAME_BYTES), io);
         loop {
-            let now = self.ticks.now();
+            let now = self.clock.now();
             if self.session.borrow().stalled(now) {
                 return Err(io::Error::new(io::ErrorKind::TimedOut, "no answer"));
             }
@@ -128,31 +128,31 @@
             for (req, request) in self.session.borrow_mut().due(now) {
                 encode(&Frame::Ask { req, request }, &mut bytes);
             }
-            self.tell();
+            self.log_lease_changes();
             if !bytes.is_empty() {
-                within(CONNECT, writer.write_all(&bytes)).await?;
+                with_timeout(CONNECT_TIMEOUT, writer.write_all(&bytes)).await?;
             }
             let due = self.session.borrow().next_due();
             let wake = async {
-                let timer = async { _ = Timer::at(self.ticks.instant(due)).await };
-                let poked = async { _ = self.poke.1.recv().await };
-                future::or(timer, poked).await;
+                let timer = async { _ = Timer::at(self.clock.instant(due)).await };
+                let changed = async { _ = self.session_changed.1.recv().await };
+                future::or(timer, changed).await;
                 Ok(None)
             };
             match future::or(async { frames.next().await.map(Some) }, wake).await? {
                 None => {}
                 Some(Some((Frame::Answer { req, answer }, _))) => {
                     // A connection that comes up may be that of a process that does nothing.
-                    if self.reached.replace(Some(true)) != Some(true) {
-                        let door = self.session.borrow().current_member().0;
-                        log::info!(door:%; "leases: the group is reached at {door}");
+                    if self.group_reached.replace(Some(true)) != Some(true) {
+                        let endpoint = self.session.borrow().current_member().0;
+                        log::info!(endpoint:%; "leases: the group is reached at {endpoint}");
                     }
                     if matches!(answer, Answer::Confirmed(_)) {
                         // Full means that the last word has not been taken up yet, and this one comes with it.
-                        let _ = self.planned.0.try_send(());
+                        let _ = self.versions_changed.0.try_send(());
                     }
-                    let moves = self.session.borrow_mut().answered(req, &answer, self.ticks.now());
-                    self.tell();
+                    let moves = self.session.borrow_mut().answered(req, &answer, self.clock.now());
+                    self.log_lease_changes();
                     if moves {
                         return Ok(());
                     }
@@ -164,11 +164,11 @@
     }
 
     /// One log line for each task that is held anew, or no more.
-    fn tell(&self) {
-        let (session, now) = (self.session.borrow(), self.ticks.now());
-        for (task, told) in session.tasks().iter().zip(self.told.borrow_mut().iter_mut()) {
+    fn log_lease_changes(&self) {
+        let (session, now) = (self.session.borrow(), self.clock.now());
+        for (task, logged_tokens) in session.tasks().iter().zip(self.logged_tokens.borrow_mut().iter_mut()) {
             let (held, name) = (task.token(now), task.task());
-            match (held, std::mem::replace(told, held)) {
+            match (held, std::mem::replace(logged_tokens, held)) {
                 (Some(token), before) if before != Some(token) => {
                     log::info!(event = "holds", task = name, token; "leases: holds {name}, token {token}");
                 }
@@ -181,15 +181,15 @@
     }
 
     /// Does a task for as long as it is held.
-    async fn act(self: Rc<Self>, place: usize) {
-        let Some(task) = self.config.tasks.get(place) else { return };
+    async fn run_task(self: Rc<Self>, index: usize) {
+        let Some(task) = self.config.tasks.get(index) else { return };
         let every = Duration::from_millis(task.every_ms);
         let mut failing = false;
         loop {
             Timer::after(every).await;
-            match self.call(place, task).await {
+            match self.call(index, task).await {
                 None => {}
-                Some(Ok(FENCED)) => {}
+                Some(Ok(STALE_TOKEN_STATUS)) => {}
                 Some(Ok(status)) if (200..300).contains(&status) => failing = false,
                 // Told once for as long as it lasts.
                 Some(ended) if !std::mem::replace(&mut failing, true) => {
@@ -202,27 +202,28 @@
     }
 
     /// One call, if the task is held: the holder's clock is asked last, right before the send.
-    async fn call(&self, place: usize, task: &Task) -> Option<io::Result<u16>> {
+    async fn call(&self, index: usize, task: &Task) -> Option<io::Result<u16>> {
         let held = || {
             let session = self.session.borrow();
-            let client = session.tasks().get(place)?;
-            Some((client.token(self.ticks.now())?, client.until()?))
+            let client = session.tasks().get(index)?;
+            Some((client.token(self.clock.now())?, client.until()?))
         };
         let (_, until) = held()?;
-        let limit = |until| CALL.min(self.ticks.instant(until).saturating_duration_since(Instant::now()));
-        let io = match within(limit(until), Async::<TcpStream>::connect(task.call)).await {
+        let limit =
+            |until| CALL_TIMEOUT.min(self.clock.instant(until).saturating_duration_since(Instant::now()));
+        let io = match with_timeout(limit(until), Async::<TcpStream>::connect(task.call)).await {
             Ok(io) => io,
             Err(error) => return Some(Err(error)),
         };
         let _ = io.get_ref().set_nodelay(true);
         let (token, until) = held()?;
         let request = request(task, &self.holder, token);
-        let answered = within(limit(until), exchange(&io, &request)).await;
-        if let Ok(FENCED) = answered {
+        let answered = with_timeout(limit(until), exchange(&io, &request)).await;
+        if let Ok(STALE_TOKEN_STATUS) = answered {
             let name = &task.name;
             log::warn!(event = "fenced", task = name, token; "leases: {name}: token {token} is refused as old");
-            self.session.borrow_mut().fenced(place, token, self.ticks.now());
-            let _ = self.poke.0.try_send(());
+            self.session.borrow_mut().fenced(index, token, self.clock.now());
+            let _ = self.session_changed.0.try_send(());
         }
         Some(answered)
     }
--- a/proxy/src/negative_cache/mod.rs
+++ b/proxy/src/negative_cache/mod.rs
@@ -2,7 +2,7 @@
 //! a write's receipt.
 
 use crate::group::unix_ms;
-use crate::replication::{left, ReplicationRuntime};
+use crate::replication::{time_left, ReplicationRuntime};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use notchdoor_negative_cache::{Lookup, LookupResult, NegativeCacheShard, Operation, Outcome, MAX_KEY_LEN};
@@ -17,7 +17,7 @@
 /// An insertion is tried once, for this long: an entry only saves work.
 const INSERT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between attempts of an invalidation while its shard is in a failover.
-const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long a tombstone is retried, for which nobody waits.
 const TOMBSTONE_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -144,12 +144,12 @@
 
     /// Retries an operation, which may be applied twice without harm, until it is committed or the time is up.
     async fn commit(&self, key: &[u8], operation: Operation, until: Instant) -> bool {
-        while !left(until).is_zero() {
-            let response = self.replicas.execute(self.shard(key), operation.clone(), left(until)).await;
+        while !time_left(until).is_zero() {
+            let response = self.replicas.execute(self.shard(key), operation.clone(), time_left(until)).await;
             if response == Response::Committed(Outcome::Invalidated) {
                 return true;
             }
-            Timer::after(RETRY_INTERVAL.min(left(until))).await;
+            Timer::after(RETRY_DELAY.min(time_left(until))).await;
         }
         false
     }
--- a/proxy/src/replication/group_client.rs
+++ b/proxy/src/replication/group_client.rs
@@ -56,15 +56,16 @@
 impl<C: ReplicatedState> ReplicationRuntime<C> {
     pub(super) fn queue_change(&self, change: ShardMapChange) {
         let key = ChangeKey::of(&change);
-        let fresh = key.is_none_or(|key| self.unanswered_changes.borrow_mut().insert(key));
-        if fresh && self.change_queue.try_send(change).is_err() {
+        let is_new = key.is_none_or(|key| self.unanswered_changes.borrow_mut().insert(key));
+        if is_new && self.change_queue.try_send(change).is_err() {
             key.map(|key| self.unanswered_changes.borrow_mut().remove(&key));
         }
     }
 
     pub(super) async fn send_changes(self: Rc<Self>, changes: Receiver<ShardMapChange>) {
         while let Ok(change) = changes.recv().await {
-            let answer = ask::leader(&self.doors, &Request::Copies(change.clone()), ANSWER_TIMEOUT).await;
+            let answer =
+                ask::leader(&self.group_endpoints, &Request::Copies(change.clone()), ANSWER_TIMEOUT).await;
             log::debug!("copies: {change:?}: {answer:?}");
             if let Some(key) = ChangeKey::of(&change) {
                 self.unanswered_changes.borrow_mut().remove(&key);
@@ -79,7 +80,7 @@
             if let Some(start) = self.drive_restart() {
                 (membership.start, membership.joined) = (start, false);
             }
-            let sent = self.ticks.now();
+            let sent = self.clock.now();
             let answer = self.ask_group(&membership).await;
             self.log_reached(&answer);
             let next = match answer {
@@ -89,7 +90,7 @@
             match next {
                 Next::AtOnce => {}
                 Next::AfterInterval => {
-                    let spent = Duration::from_millis(self.ticks.now() - sent);
+                    let spent = Duration::from_millis(self.clock.now() - sent);
                     Timer::after(Duration::from_millis(membership.interval_ms).saturating_sub(spent)).await;
                 }
                 Next::Never => return,
@@ -98,18 +99,18 @@
     }
 
     async fn ask_group(&self, membership: &Membership) -> Result<Answer, String> {
-        let taking_part = self.taking_part.get();
-        let request = if membership.joined || !taking_part {
+        let participating = self.participating.get();
+        let request = if membership.joined || !participating {
             // While a node asks as itself, the group takes it to be up, and its shards to be served. One that is out
             // asks only where the others are, for its own clients.
-            let node = taking_part.then_some((self.address.id, membership.start));
+            let node = participating.then_some((self.address.id, membership.start));
             Request::Table { node, have: self.node.borrow().shard_map().version() }
         } else {
             let (at, shape) = (self.address.clone(), self.config.shape());
             Request::Copies(ShardMapChange::Join { at, start: membership.start, shape })
         };
         let limit = Duration::from_millis(membership.interval_ms * 3).min(ANSWER_TIMEOUT);
-        ask::leader(&self.doors, &request, limit).await
+        ask::leader(&self.group_endpoints, &request, limit).await
     }
 
     fn log_reached(&self, answer: &Result<Answer, String>) {
@@ -137,7 +138,7 @@
                 log::error!(event = "refused"; "copies: this node takes no part: {why}");
                 Next::Never
             }
-            Answer::Table(word) => self.confirmed(sent, word, membership),
+            Answer::Table(confirmation) => self.confirmed(sent, confirmation, membership),
             _ => Next::AfterInterval,
         }
     }
@@ -145,13 +146,13 @@
     fn confirmed(
         self: &Rc<Self>,
         sent: Millis,
-        word: ShardMapConfirmation,
+        confirmation: ShardMapConfirmation,
         membership: &mut Membership,
     ) -> Next {
-        membership.interval_ms = (word.good_ms / 4).max(MIN_INTERVAL_MS);
-        let up = self.node.borrow_mut().map_confirmed(sent, word, self.ticks.now());
-        self.pump();
-        if up || !self.taking_part.get() {
+        membership.interval_ms = (confirmation.good_ms / 4).max(MIN_INTERVAL_MS);
+        let up = self.node.borrow_mut().map_confirmed(sent, confirmation, self.clock.now());
+        self.process_output();
+        if up || !self.participating.get() {
             return Next::AfterInterval;
         }
         log::warn!(event = "gone"; "copies: the group took this node to be gone; it comes again");
--- a/proxy/src/replication/links.rs
+++ b/proxy/src/replication/links.rs
@@ -2,7 +2,7 @@
 //! others have dialled, which are read alone.
 
 use super::ReplicationRuntime;
-use crate::group::within;
+use crate::group::with_timeout;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -17,14 +17,14 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a connection or an accept that failed.
-const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A node that takes no bytes for so long is connected to anew.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Messages that wait for one node; of more, the rest is lost and sent again.
 const MAX_QUEUED_MESSAGES: usize = 1024;
 /// Bytes of messages that are written at once.
-const WRITE_BATCH: usize = 64 * 1024;
-const READ_BUFFER: usize = 16 * 1024;
+const MAX_WRITE_BATCH_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Connections of other nodes at the most.
 const MAX_ACCEPTED_LINKS: usize = 1024;
 
@@ -59,13 +59,13 @@
                 log::debug!(peer:% = address; "copies: {address}: {error}");
                 // What waited for the node is out of date by the time that it can be reached.
                 while messages.try_recv().is_ok() {}
-                Timer::after(RETRY_INTERVAL).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
 
     async fn write_messages(&self, address: SocketAddr, messages: &Receiver<Message<C>>) -> io::Result<()> {
-        let io = within(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await?;
+        let io = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await?;
         let _ = io.get_ref().set_nodelay(true);
         while let Ok(first) = messages.recv().await {
             let mut bytes = Vec::new();
@@ -74,10 +74,10 @@
                 if !encode(self.address.id, &message, &mut bytes) {
                     log::error!("copies: a message is larger than any frame, it is not sent");
                 }
-                next = (bytes.len() < WRITE_BATCH).then(|| messages.try_recv().ok()).flatten();
+                next = (bytes.len() < MAX_WRITE_BATCH_BYTES).then(|| messages.try_recv().ok()).flatten();
             }
-            for piece in bytes.chunks(WRITE_BATCH) {
-                within(WRITE_TIMEOUT, (&io).write_all(piece)).await?;
+            for piece in bytes.chunks(MAX_WRITE_BATCH_BYTES) {
+                with_timeout(WRITE_TIMEOUT, (&io).write_all(piece)).await?;
             }
         }
         Ok(())
@@ -98,22 +98,22 @@
                     self.executor.spawn(read).detach();
                 }
                 Ok(_) => log::warn!("copies: {MAX_ACCEPTED_LINKS} links are open, another is not taken"),
-                Err(_) => drop(Timer::after(RETRY_INTERVAL).await),
+                Err(_) => drop(Timer::after(RETRY_DELAY).await),
             }
         }
     }
 
     async fn read_messages(self: &Rc<Self>, mut io: &Async<TcpStream>) -> io::Result<()> {
-        let (mut decoder, mut buffer) = (Decoder::default(), vec![0; READ_BUFFER]);
+        let (mut decoder, mut buffer) = (Decoder::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let invalid = |error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}"));
             while let Some((from, message)) = decoder.next_message::<C>().map_err(invalid)? {
                 // What a primary sends is sent again until it is acknowledged.
                 if !self.is_store_behind() || matches!(message, Message::Response { .. }) {
-                    self.node.borrow_mut().receive(self.ticks.now(), from, message);
+                    self.node.borrow_mut().receive(self.clock.now(), from, message);
                 }
             }
-            self.pump();
+            self.process_output();
             let room = decoder.remaining_capacity().min(buffer.len());
             let read = io.read(&mut buffer[..room]).await?;
             if read == 0 {
--- a/proxy/src/replication/mod.rs
+++ b/proxy/src/replication/mod.rs
@@ -6,7 +6,7 @@
 mod restart;
 mod store;
 
-use crate::group::Ticks;
+use crate::group::MonotonicClock;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -30,7 +30,7 @@
 use store::{OpenedStore, Store};
 
 /// How often the node's time passes.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Writes that wait for the store. Beyond that the node takes no more operations, its own or a primary's, until there is
 /// room; what it owes its clients goes on.
 const MAX_QUEUED_WRITES: usize = 16 * 1024;
@@ -39,7 +39,7 @@
 /// Changes that wait to be asked of the group; what is left out is asked again.
 const MAX_QUEUED_CHANGES: usize = 256;
 /// Bytes of a node's name that the group takes.
-const MAX_NAME_LEN: usize = 64;
+const MAX_NODE_NAME_BYTES: usize = 64;
 
 /// Writes that are made durable together.
 #[derive(Default)]
@@ -54,9 +54,9 @@
     node: RefCell<ReplicaNode<C>>,
     address: NodeInfo,
     config: CopiesConfig,
-    doors: Vec<Endpoint>,
+    group_endpoints: Vec<Endpoint>,
     drift: Drift,
-    ticks: Ticks,
+    clock: MonotonicClock,
     executor: Rc<LocalExecutor<'static>>,
     /// None while a store that has failed is opened again.
     store: RefCell<Option<Arc<Store<C>>>>,
@@ -79,7 +79,7 @@
     /// A write failed: nothing more is written until the store was opened again.
     store_failed: Cell<bool>,
     /// Whether the node takes part in the group, or waits for its next start.
-    taking_part: Cell<bool>,
+    participating: Cell<bool>,
     restart: RefCell<Restart<C>>,
 }
 
@@ -87,7 +87,7 @@
     /// Opens the store and begins. The error names the field at fault, in one line.
     pub fn start(
         config: CopiesConfig,
-        doors: Vec<Endpoint>,
+        group_endpoints: Vec<Endpoint>,
         drift: Drift,
         name: &str,
         executor: &Rc<LocalExecutor<'static>>,
@@ -97,16 +97,16 @@
             .map_err(|e| format!("copies.listen: cannot listen on {}: {e}", config.listen))?;
         let (configured, stored) = (config.shards, shards.len());
         log::info!(node = id, start, shards = stored; "copies: node {id:016x}, start {start}, {stored} of {configured} shards on its disk");
-        let ticks = Ticks::start();
+        let clock = MonotonicClock::start();
         let (wake_store, woken) = async_channel::bounded(1);
         let (change_queue, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
         let runtime = Rc::new(ReplicationRuntime {
-            node: RefCell::new(ReplicaNode::new(id, start, drift, shards, ticks.now(), Variant::Correct)),
+            node: RefCell::new(ReplicaNode::new(id, start, drift, shards, clock.now(), Variant::Correct)),
             address: node_address(id, name, &config),
             config,
-            doors,
+            group_endpoints,
             drift,
-            ticks,
+            clock,
             executor: Rc::clone(executor),
             store: RefCell::new(Some(Arc::new(store))),
             links: RefCell::default(),
@@ -120,14 +120,14 @@
             group_reached: Cell::new(None),
             writing: Cell::new(false),
             store_failed: Cell::new(false),
-            taking_part: Cell::new(true),
+            participating: Cell::new(true),
             restart: RefCell::new(Restart::DueAt(0)),
         });
         executor.spawn(Rc::clone(&runtime).accept_links(listener)).detach();
         executor.spawn(Rc::clone(&runtime).commit_writes(woken)).detach();
         executor.spawn(Rc::clone(&runtime).send_changes(changes)).detach();
         executor.spawn(Rc::clone(&runtime).confirm_shard_map(start)).detach();
-        executor.spawn(Rc::clone(&runtime).pass_time()).detach();
+        executor.spawn(Rc::clone(&runtime).tick_node()).detach();
         Ok(runtime)
     }
 
@@ -147,7 +147,7 @@
             return Response::Rejected { retry_after_ms: RETRY_AFTER_MS };
         }
         let (request, response) = self.register_request();
-        let now = self.ticks.now();
+        let now = self.clock.now();
         let until = now + limit.as_millis() as Millis;
         self.node.borrow_mut().execute(now, until, request, shard, operation);
         self.response(request, response).await
@@ -156,7 +156,7 @@
     /// Asks a shard's primary something, within a time.
     pub async fn query(self: &Rc<Self>, shard: u32, query: C::Query, limit: Duration) -> Response<C> {
         let (request, response) = self.register_request();
-        let now = self.ticks.now();
+        let now = self.clock.now();
         let until = now + limit.as_millis() as Millis;
         self.node.borrow_mut().query(now, until, request, shard, query);
         self.response(request, response).await
@@ -170,7 +170,7 @@
     }
 
     async fn response(self: &Rc<Self>, request: u64, response: Receiver<Response<C>>) -> Response<C> {
-        self.pump();
+        self.process_output();
         let response = response.recv().await.unwrap_or(Response::Unknown);
         self.waiting.borrow_mut().remove(&request);
         response
@@ -182,7 +182,7 @@
     }
 
     /// Carries out what the node wants done.
-    fn pump(self: &Rc<Self>) {
+    fn process_output(self: &Rc<Self>) {
         let Output { messages, writes, last_write, responses, map_changes, events } =
             self.node.borrow_mut().take_output();
         for (to, message) in messages {
@@ -196,8 +196,8 @@
             let _ = self.wake_store.try_send(());
         }
         for (request, response) in responses {
-            if let Some(waits) = self.waiting.borrow_mut().remove(&request) {
-                let _ = waits.try_send(response);
+            if let Some(response_sender) = self.waiting.borrow_mut().remove(&request) {
+                let _ = response_sender.try_send(response);
             }
         }
         for change in map_changes {
@@ -227,7 +227,7 @@
                     self.fail_store();
                 }
             }
-            self.pump();
+            self.process_output();
         }
     }
 
@@ -237,11 +237,11 @@
         self.leave(RECOVERY_INTERVAL_MS);
     }
 
-    async fn pass_time(self: Rc<Self>) {
+    async fn tick_node(self: Rc<Self>) {
         loop {
-            Timer::after(TICK).await;
-            self.node.borrow_mut().tick(self.ticks.now());
-            self.pump();
+            Timer::after(TICK_INTERVAL).await;
+            self.node.borrow_mut().tick(self.clock.now());
+            self.process_output();
         }
     }
 }
@@ -249,7 +249,7 @@
 /// Where other nodes find this one, under a name of which every byte is plain.
 fn node_address(id: NodeId, name: &str, config: &CopiesConfig) -> NodeInfo {
     let plain = |c: &char| c.is_ascii_alphanumeric() || "._-".contains(*c);
-    let plain: String = name.chars().filter(plain).take(MAX_NAME_LEN).collect();
+    let plain: String = name.chars().filter(plain).take(MAX_NODE_NAME_BYTES).collect();
     NodeInfo {
         id,
         name: if plain.is_empty() { "-".to_owned() } else { plain },
@@ -272,7 +272,7 @@
 }
 
 /// The time left until an instant.
-pub(crate) fn left(until: Instant) -> Duration {
+pub(crate) fn time_left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
 
--- a/proxy/src/replication/restart.rs
+++ b/proxy/src/replication/restart.rs
@@ -2,7 +2,7 @@
 //! the group's client goes on to ask where the other nodes are, however long the disk takes.
 
 use super::store::{self, OpenedStore, Store, StoreError};
-use super::{ReplicationRuntime, TICK};
+use super::{ReplicationRuntime, TICK_INTERVAL};
 use async_io::Timer;
 use blocking::unblock;
 use notchdoor_coordination::lease::Millis;
@@ -31,26 +31,26 @@
     /// promised since the group took it to be gone is not known to anybody.
     pub(super) fn leave(&self, restart_after_ms: Millis) {
         self.node.borrow_mut().store_failed();
-        self.taking_part.set(false);
+        self.participating.set(false);
         let mut restart = self.restart.borrow_mut();
         if !matches!(*restart, Restart::Running) {
-            *restart = Restart::DueAt(self.ticks.now() + restart_after_ms);
+            *restart = Restart::DueAt(self.clock.now() + restart_after_ms);
         }
     }
 
     /// Begins the next start of a node that is out once it is due, and gives its number once it is made.
     pub(super) fn drive_restart(self: &Rc<Self>) -> Option<u64> {
-        if self.taking_part.get() {
+        if self.participating.get() {
             return None;
         }
         match self.restart.replace(Restart::Running) {
-            Restart::DueAt(at) if at <= self.ticks.now() => {
+            Restart::DueAt(at) if at <= self.clock.now() => {
                 self.executor.spawn(Rc::clone(self).restart()).detach();
                 None
             }
             Restart::Done(NewStart { number, shards }) => {
                 self.replace_node(number, shards);
-                self.taking_part.set(true);
+                self.participating.set(true);
                 Some(number)
             }
             unchanged => {
@@ -72,7 +72,7 @@
                     log::error!(event = "disk"; "copies: the store failed, this node takes no part: {error}");
                 }
                 self.store_failed.set(true);
-                Restart::DueAt(self.ticks.now() + RECOVERY_INTERVAL_MS)
+                Restart::DueAt(self.clock.now() + RECOVERY_INTERVAL_MS)
             }
         };
         self.restart.replace(next);
@@ -105,17 +105,17 @@
     /// Waits until the store has nothing more to do.
     async fn store_idle(&self) {
         while self.writing.get() || !self.queued_writes.borrow().writes.is_empty() {
-            Timer::after(TICK).await;
+            Timer::after(TICK_INTERVAL).await;
         }
     }
 
     /// Goes on with another start of the node.
     fn replace_node(&self, start: u64, shards: Vec<ShardState<C>>) {
-        let (id, now) = (self.address.id, self.ticks.now());
+        let (id, now) = (self.address.id, self.clock.now());
         self.node.replace(ReplicaNode::new(id, start, self.drift, shards, now, Variant::Correct));
-        // Who waits is told what is true: it may have been carried out.
-        for (_, waits) in self.waiting.borrow_mut().drain() {
-            let _ = waits.try_send(Response::Unknown);
+        // The operations of waiting callers may or may not have been applied.
+        for (_, response_sender) in self.waiting.borrow_mut().drain() {
+            let _ = response_sender.try_send(Response::Unknown);
         }
         self.unanswered_changes.borrow_mut().clear();
     }
--- a/proxy/src/replication/store/fault_tests.rs
+++ b/proxy/src/replication/store/fault_tests.rs
@@ -11,36 +11,36 @@
 enum Fault {
     None,
     /// Calls fail with this error until as many of them have failed, and succeed from then on.
-    Fails {
+    FailCalls {
         errno: i32,
         calls: usize,
     },
     /// The machine stops: a write before it may be there in part, or not at all where it was not synchronized.
-    Stops {
-        keeps: Keeps,
+    StopMachine {
+        unsynced: UnsyncedWrites,
     },
 }
 
 /// What a disk holds of the writes since its last sync, after the machine has stopped.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Keeps {
-    Nothing,
-    All,
+enum UnsyncedWrites {
+    Lost,
+    Kept,
     /// Every second one, in their order, and of the last one its first half.
-    EverySecond,
+    EverySecondKept,
 }
 
 #[derive(Clone, Debug)]
-enum ShardMapChange {
+enum FileChange {
     Write(u64, Vec<u8>),
     Length(u64),
 }
 
-impl ShardMapChange {
+impl FileChange {
     fn apply(&self, bytes: &mut Vec<u8>) {
         match self {
-            ShardMapChange::Length(length) => bytes.resize(*length as usize, 0),
-            ShardMapChange::Write(offset, data) => {
+            FileChange::Length(length) => bytes.resize(*length as usize, 0),
+            FileChange::Write(offset, data) => {
                 let end = *offset as usize + data.len();
                 if bytes.len() < end {
                     bytes.resize(end, 0);
@@ -56,9 +56,9 @@
     /// As the process sees it.
     current: Vec<u8>,
     durable: Vec<u8>,
-    unsynced: Vec<ShardMapChange>,
+    unsynced: Vec<FileChange>,
     calls: usize,
-    failed: usize,
+    failed_calls: usize,
     /// The file was whole and has its name; one without is removed by the next start.
     named: bool,
 }
@@ -68,12 +68,12 @@
 struct Disk {
     contents: Arc<Mutex<Contents>>,
     fault: Fault,
-    at_call: usize,
+    first_call: usize,
 }
 
 impl Disk {
-    fn new(fault: Fault, at_call: usize) -> Disk {
-        Disk { contents: Arc::default(), fault, at_call }
+    fn new(fault: Fault, first_call: usize) -> Disk {
+        Disk { contents: Arc::default(), fault, first_call }
     }
 
     fn calls(&self) -> usize {
@@ -81,7 +81,7 @@
     }
 
     /// The disk as the next process finds it after this one has stopped.
-    fn after_stop(&self, keeps: Keeps) -> Disk {
+    fn after_stop(&self, kept: UnsyncedWrites) -> Disk {
         let contents = self.contents.lock().unwrap();
         if !contents.named {
             return Disk::new(Fault::None, 0);
@@ -89,36 +89,36 @@
         let mut bytes = contents.durable.clone();
         let last = contents.unsynced.len().saturating_sub(1);
         for (n, change) in contents.unsynced.iter().enumerate() {
-            match (keeps, change) {
-                (Keeps::Nothing, _) => {}
-                (Keeps::EverySecond, ShardMapChange::Write(offset, data)) if n == last => {
-                    ShardMapChange::Write(*offset, data[..data.len() / 2].to_vec()).apply(&mut bytes);
+            match (kept, change) {
+                (UnsyncedWrites::Lost, _) => {}
+                (UnsyncedWrites::EverySecondKept, FileChange::Write(offset, data)) if n == last => {
+                    FileChange::Write(*offset, data[..data.len() / 2].to_vec()).apply(&mut bytes);
                 }
-                (Keeps::EverySecond, _) if n % 2 == 1 => {}
+                (UnsyncedWrites::EverySecondKept, _) if n % 2 == 1 => {}
                 _ => change.apply(&mut bytes),
             }
         }
         let contents =
             Contents { current: bytes.clone(), durable: bytes, named: true, ..Contents::default() };
-        Disk { contents: Arc::new(Mutex::new(contents)), fault: Fault::None, at_call: 0 }
+        Disk { contents: Arc::new(Mutex::new(contents)), fault: Fault::None, first_call: 0 }
     }
 
     /// The disk as it is well again, after its process was ended: nothing is lost of what the system had taken.
-    fn healed(&self) -> Disk {
-        self.after_stop(Keeps::All)
+    fn after_process_restart(&self) -> Disk {
+        self.after_stop(UnsyncedWrites::Kept)
     }
 
     fn call(&self, contents: &mut Contents) -> io::Result<()> {
         contents.calls += 1;
-        if contents.calls < self.at_call {
+        if contents.calls < self.first_call {
             return Ok(());
         }
         match self.fault {
-            Fault::Fails { errno, calls } if contents.failed < calls => {
-                contents.failed += 1;
+            Fault::FailCalls { errno, calls } if contents.failed_calls < calls => {
+                contents.failed_calls += 1;
                 Err(io::Error::from_raw_os_error(errno))
             }
-            Fault::Stops { .. } => Err(io::Error::other("the machine has stopped")),
+            Fault::StopMachine { .. } => Err(io::Error::other("the machine has stopped")),
             _ => Ok(()),
         }
     }
@@ -138,7 +138,7 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.change(ShardMapChange::Length(length))
+        self.change(FileChange::Length(length))
     }
 
     fn sync_data(&self) -> io::Result<()> {
@@ -150,17 +150,17 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.change(ShardMapChange::Write(offset, data.to_vec()))
+        self.change(FileChange::Write(offset, data.to_vec()))
     }
 }
 
 impl Disk {
-    fn change(&self, change: ShardMapChange) -> io::Result<()> {
+    fn change(&self, change: FileChange) -> io::Result<()> {
         let mut contents = self.contents.lock().unwrap();
         if let Err(error) = self.call(&mut contents) {
             // A write that the machine stopped in may have been carried out in part.
-            if matches!(self.fault, Fault::Stops { .. }) && contents.failed == 0 {
-                contents.failed = 1;
+            if matches!(self.fault, Fault::StopMachine { .. }) && contents.failed_calls == 0 {
+                contents.failed_calls = 1;
                 contents.unsynced.push(change);
             }
             return Err(error);
@@ -201,7 +201,7 @@
 /// Sequence numbers that batches end with: past one compaction.
 const BATCHES: [u64; 6] = [1, 2, 5, 500, 513, 514];
 
-/// What a process was told by its store.
+/// What the store acknowledged to one process.
 #[derive(Debug, Default)]
 struct Acknowledged {
     node: Option<NodeId>,
@@ -239,22 +239,25 @@
 }
 
 /// What was acknowledged is there, and nothing that was never written.
-fn check_restart(disk: &Disk, told: &Acknowledged, case: &str) {
-    let opened = open_on(disk).unwrap_or_else(|error| panic!("{case}: {told:?}: {error}"));
-    assert!(told.node.is_none_or(|node| node == opened.node), "{case}: it comes as another node");
-    assert!(opened.start > told.start, "{case}: start {} after {}", opened.start, told.start);
-    let held = opened.shards.iter().find(|held| held.shard == SHARD);
-    let seq = held.map_or(0, |held| held.seq);
-    assert!((told.seq..=told.attempted).contains(&seq), "{case}: {seq} is held, {told:?}");
-    if let Some(held) = held {
-        assert_eq!(held.content, state_at(seq), "{case}: the state of {seq}");
+fn assert_acknowledged_data_restored(disk: &Disk, acknowledged: &Acknowledged, case: &str) {
+    let opened = open_on(disk).unwrap_or_else(|error| panic!("{case}: {acknowledged:?}: {error}"));
+    assert!(acknowledged.node.is_none_or(|node| node == opened.node), "{case}: it comes as another node");
+    assert!(opened.start > acknowledged.start, "{case}: start {} after {}", opened.start, acknowledged.start);
+    let restored = opened.shards.iter().find(|restored| restored.shard == SHARD);
+    let seq = restored.map_or(0, |restored| restored.seq);
+    assert!(
+        (acknowledged.seq..=acknowledged.attempted).contains(&seq),
+        "{case}: {seq} is restored, {acknowledged:?}"
+    );
+    if let Some(restored) = restored {
+        assert_eq!(restored.content, state_at(seq), "{case}: the state of {seq}");
     }
 }
 
-fn calls_of_a_whole_run() -> usize {
+fn calls_in_run_without_fault() -> usize {
     let disk = Disk::new(Fault::None, 0);
-    let told = run_node(&disk);
-    assert_eq!((told.seq, told.failures), (514, 0));
+    let acknowledged = run_node(&disk);
+    assert_eq!((acknowledged.seq, acknowledged.failures), (514, 0));
     disk.calls()
 }
 
@@ -262,18 +265,18 @@
 fn a_call_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
     const ENOSPC: i32 = 28;
     const EIO: i32 = 5;
-    let calls = calls_of_a_whole_run();
+    let calls = calls_in_run_without_fault();
     assert!(calls > 30, "{calls} calls");
     for errno in [ENOSPC, EIO] {
         for failing in [1, 3, usize::MAX] {
-            for at_call in 1..=calls {
-                let fault = Fault::Fails { errno, calls: failing };
-                let disk = Disk::new(fault, at_call);
-                let told = run_node(&disk);
-                let case = format!("{fault:?} from call {at_call} on");
+            for first_call in 1..=calls {
+                let fault = Fault::FailCalls { errno, calls: failing };
+                let disk = Disk::new(fault, first_call);
+                let acknowledged = run_node(&disk);
+                let case = format!("{fault:?} from call {first_call} on");
                 // A call that fails once the last batch is durable is one of the closing of the file.
-                assert!(told.failures == 1 || told.seq == 514, "{case}: {told:?}");
-                check_restart(&disk.healed(), &told, &case);
+                assert!(acknowledged.failures == 1 || acknowledged.seq == 514, "{case}: {acknowledged:?}");
+                assert_acknowledged_data_restored(&disk.after_process_restart(), &acknowledged, &case);
             }
         }
     }
@@ -281,28 +284,33 @@
 
 #[test]
 fn a_machine_that_stops_at_any_call_loses_nothing_that_was_acknowledged() {
-    let calls = calls_of_a_whole_run();
-    for keeps in [Keeps::Nothing, Keeps::All, Keeps::EverySecond] {
-        for at_call in 1..=calls {
-            let fault = Fault::Stops { keeps };
-            let disk = Disk::new(fault, at_call);
-            let told = run_node(&disk);
-            check_restart(&disk.after_stop(keeps), &told, &format!("{fault:?} at call {at_call}"));
+    let calls = calls_in_run_without_fault();
+    for unsynced in [UnsyncedWrites::Lost, UnsyncedWrites::Kept, UnsyncedWrites::EverySecondKept] {
+        for first_call in 1..=calls {
+            let fault = Fault::StopMachine { unsynced };
+            let disk = Disk::new(fault, first_call);
+            let acknowledged = run_node(&disk);
+            assert_acknowledged_data_restored(
+                &disk.after_stop(unsynced),
+                &acknowledged,
+                &format!("{fault:?} at call {first_call}"),
+            );
         }
     }
 }
 
 #[test]
 fn a_store_that_answers_before_its_sync_is_found() {
-    let calls = calls_of_a_whole_run();
-    let lost = (1..=calls).filter(|at_call| {
-        let disk = Disk::new(Fault::Stops { keeps: Keeps::Nothing }, *at_call);
-        let told = run_node(&disk);
+    let calls = calls_in_run_without_fault();
+    let lost = (1..=calls).filter(|first_call| {
+        let disk = Disk::new(Fault::StopMachine { unsynced: UnsyncedWrites::Lost }, *first_call);
+        let acknowledged = run_node(&disk);
         // What was written last counts as acknowledged, though its commit has not returned.
-        let early = Acknowledged { seq: told.attempted, ..told };
-        let caught =
-            std::panic::catch_unwind(|| check_restart(&disk.after_stop(Keeps::Nothing), &early, "early"));
-        caught.is_err()
+        let early = Acknowledged { seq: acknowledged.attempted, ..acknowledged };
+        let result = std::panic::catch_unwind(|| {
+            assert_acknowledged_data_restored(&disk.after_stop(UnsyncedWrites::Lost), &early, "early")
+        });
+        result.is_err()
     });
     assert!(lost.count() > 3);
 }
--- a/proxy/src/replication/store/mod.rs
+++ b/proxy/src/replication/store/mod.rs
@@ -1,7 +1,7 @@
 //! A replica's store on disk (`redb`): the node's number, the count of its starts, and of each shard a snapshot and the
 //! operations after it.
 
-use crate::group::fresh_number;
+use crate::group::random_id;
 use notchdoor_coordination::shard_map::NodeId;
 use notchdoor_replication::ReplicatedState;
 use notchdoor_replication::{ShardState, StoreWrite};
@@ -33,7 +33,7 @@
 /// The format of the store; another one is refused by its number.
 const FORMAT: u64 = 1;
 /// Operations of a shard that are stored before a snapshot takes their place.
-const COMPACTION_INTERVAL: u64 = 512;
+const MAX_OPERATIONS_AFTER_SNAPSHOT: u64 = 512;
 
 /// Why a store cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -131,7 +131,7 @@
     let described = |error: StoreError| format!("copies.data: {}: {error}", file.display());
     match open_file(&file) {
         Err(error) if error.is_damage() => {
-            put_aside(&file, &error).map_err(described)?;
+            set_damaged_file_aside(&file, &error).map_err(described)?;
             open_file(&file).map_err(described)
         }
         opened => opened.map_err(described),
@@ -142,7 +142,7 @@
     fs::create_dir_all(folder)
 }
 
-fn put_aside(file: &Path, error: &StoreError) -> Result<(), StoreError> {
+fn set_damaged_file_aside(file: &Path, error: &StoreError) -> Result<(), StoreError> {
     let aside: PathBuf = file.with_file_name(DAMAGED_FILE);
     log::error!(event = "damaged"; "copies: the store is damaged, it is put aside as {}: {error}", aside.display());
     Ok(fs::rename(file, &aside)?)
@@ -162,7 +162,7 @@
 
 /// Opens a file whose bytes may be other ones than were written. `redb` trusts a file that was closed in order and may
 /// panic on one that was changed since; its check at the opening would not, but goes back to the commit before where
-/// the last one is damaged, without a word.
+/// the last one is damaged, without reporting it.
 fn open_untrusted<C: ReplicatedState>(file: &Path) -> Result<OpenedStore<C>, StoreError> {
     let opened = panic::catch_unwind(|| open_database(Database::open(file)?));
     opened.unwrap_or_else(|_| Err(panicked()))
@@ -194,7 +194,7 @@
         let (_, _) = (transaction.open_table(SNAPSHOTS)?, transaction.open_table(OPERATIONS)?);
         let mut meta = transaction.open_table(META)?;
         meta.insert(FORMAT_KEY, FORMAT)?;
-        meta.insert(NODE_KEY, fresh_number())?;
+        meta.insert(NODE_KEY, random_id())?;
     }
     Ok(transaction.commit()?)
 }
@@ -215,7 +215,7 @@
     let start = read_meta(&failed.database, START_KEY)?.unwrap_or(0) + 1;
     drop(failed);
     let store = Store::new(Database::create(&unfinished)?);
-    store.write_whole(node, start, &shards)?;
+    store.write_full_state(node, start, &shards)?;
     fs::rename(&unfinished, &file)?;
     File::open(folder)?.sync_all()?;
     Ok(OpenedStore { store, node, start, shards })
@@ -224,7 +224,7 @@
 /// Checks a database, counts this start in it and reads what it holds.
 fn open_database<C: ReplicatedState>(database: Database) -> Result<OpenedStore<C>, StoreError> {
     let (store, node) = check_database(database)?;
-    // The count of starts is on the disk before anybody is told of this one.
+    // The count of starts is on the disk before this start number is used.
     let start = store.begin_start()?;
     let shards = store.load()?;
     Ok(OpenedStore { store, node, start, shards })
@@ -302,7 +302,7 @@
     }
 
     /// Writes all of a node's state into an empty store.
-    fn write_whole(&self, node: NodeId, start: u64, shards: &[ShardState<C>]) -> Result<(), StoreError> {
+    fn write_full_state(&self, node: NodeId, start: u64, shards: &[ShardState<C>]) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         {
             let mut meta = transaction.open_table(META)?;
@@ -349,7 +349,7 @@
             match write {
                 StoreWrite::Append { shard, seq, operation } => {
                     self.operations.insert((*shard, *seq), encode(*shard, operation)?.as_slice())?;
-                    if seq % COMPACTION_INTERVAL == 0 {
+                    if seq % MAX_OPERATIONS_AFTER_SNAPSHOT == 0 {
                         due_for_compaction.insert(*shard);
                     }
                 }
--- a/proxy/src/replication/store/tests.rs
+++ b/proxy/src/replication/store/tests.rs
@@ -20,28 +20,28 @@
         store.load().unwrap()
     };
     let file = folder.join("copies.redb");
-    let OpenedStore { node: number, start, shards: held, .. } = open::<NegativeCacheShard>(&folder).unwrap();
-    assert_eq!((start, &held), (2, &written));
-    let good = std::fs::read(&file).unwrap();
-    let text = good.windows(5).position(|w| w == b"key-7").expect("a key stands in the file");
-    let mut put_aside = 0;
-    for at in [text, 0, 9, 70, 200].into_iter().chain((0..good.len()).step_by(good.len() / 40)) {
-        let mut bad = good.clone();
-        bad[at] ^= 0x10;
-        std::fs::write(&file, &bad).unwrap();
+    let OpenedStore { node, start, shards, .. } = open::<NegativeCacheShard>(&folder).unwrap();
+    assert_eq!((start, &shards), (2, &written));
+    let original = std::fs::read(&file).unwrap();
+    let text = original.windows(5).position(|w| w == b"key-7").expect("a key stands in the file");
+    let mut damaged_files = 0;
+    for at in [text, 0, 9, 70, 200].into_iter().chain((0..original.len()).step_by(original.len() / 40)) {
+        let mut corrupted = original.clone();
+        corrupted[at] ^= 0x10;
+        std::fs::write(&file, &corrupted).unwrap();
         match open::<NegativeCacheShard>(&folder) {
-            Ok(OpenedStore { node: other, shards: held, .. }) if other != number => {
-                assert!(held.is_empty(), "byte {at}: another node holds {held:?}");
-                assert_eq!(std::fs::read(folder.join("copies.damaged")).unwrap().len(), good.len());
-                put_aside += 1;
+            Ok(OpenedStore { node: other, shards, .. }) if other != node => {
+                assert!(shards.is_empty(), "byte {at}: another node holds {shards:?}");
+                assert_eq!(std::fs::read(folder.join("copies.damaged")).unwrap().len(), original.len());
+                damaged_files += 1;
             }
-            Ok(OpenedStore { shards: held, .. }) => assert_eq!(held, written, "byte {at}"),
-            Err(why) => assert!(why.starts_with("copies.data: "), "byte {at}: {why}"),
+            Ok(OpenedStore { shards, .. }) => assert_eq!(shards, written, "byte {at}"),
+            Err(error) => assert!(error.starts_with("copies.data: "), "byte {at}: {error}"),
         }
-        assert!(at != text || put_aside == 1, "a changed key is found");
+        assert!(at != text || damaged_files == 1, "a changed key is found");
     }
-    assert!(put_aside > 3, "{put_aside} were put aside");
-    std::fs::write(&file, &good).unwrap();
+    assert!(damaged_files > 3, "{damaged_files} were put aside");
+    std::fs::write(&file, &original).unwrap();
     drop(open::<NegativeCacheShard>(&folder).unwrap());
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -69,17 +69,17 @@
 
 /// The writes that made [`raw_store`].
 fn writes_of_raw_store() -> Vec<StoreWrite<NegativeCacheShard>> {
-    let void = |key: &[u8]| Operation::Invalidate { key: key.to_vec() };
+    let invalidate = |key: &[u8]| Operation::Invalidate { key: key.to_vec() };
     let bar = Operation::Tombstone { key: b"written".to_vec(), until: 1_700_000_030_000 };
     let ghost = Operation::Insert { key: b"ghost".to_vec(), token: 2, at: 1_700_000_000_123 };
     vec![
-        StoreWrite::Append { shard: 9, seq: 1, operation: void(b"replaced") },
-        StoreWrite::Append { shard: 8, seq: 1, operation: void(b"forgotten") },
-        StoreWrite::Snapshot { shard: 3, seq: 3, content: content_of(&[void(b"a"), bar.clone()]) },
+        StoreWrite::Append { shard: 9, seq: 1, operation: invalidate(b"replaced") },
+        StoreWrite::Append { shard: 8, seq: 1, operation: invalidate(b"forgotten") },
+        StoreWrite::Snapshot { shard: 3, seq: 3, content: content_of(&[invalidate(b"a"), bar.clone()]) },
         StoreWrite::Snapshot { shard: 9, seq: 300, content: content_of(&[]) },
         StoreWrite::Append { shard: 3, seq: 4, operation: ghost },
         StoreWrite::Append { shard: 3, seq: 5, operation: bar },
-        StoreWrite::Append { shard: 3, seq: 6, operation: void(b"ghost") },
+        StoreWrite::Append { shard: 3, seq: 6, operation: invalidate(b"ghost") },
         StoreWrite::Append { shard: 7, seq: 1, operation: op(1) },
         StoreWrite::Remove { shard: 8 },
     ]
@@ -94,11 +94,11 @@
 }
 
 /// What [`raw_store`] holds, by shard.
-fn held_by_raw_store() -> Vec<ShardState<NegativeCacheShard>> {
+fn shards_of_raw_store() -> Vec<ShardState<NegativeCacheShard>> {
     let writes = writes_of_raw_store();
-    let ops_of = |wanted: u32| -> Vec<Operation> {
+    let ops_of = |shard_number: u32| -> Vec<Operation> {
         let op = |w: &StoreWrite<NegativeCacheShard>| match w {
-            StoreWrite::Append { shard, operation, .. } if *shard == wanted => Some(operation.clone()),
+            StoreWrite::Append { shard, operation, .. } if *shard == shard_number => Some(operation.clone()),
             _ => None,
         };
         writes.iter().filter_map(op).collect()
@@ -113,11 +113,11 @@
     vec![of(3, 6, third), of(7, 1, content_of(&ops_of(7))), of(9, 300, NegativeCacheShard::default())]
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     let byte = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
     (0..text.len()).step_by(2).map(byte).collect()
 }
@@ -143,18 +143,18 @@
             }
             let mut whole = txn.open_table(TableDefinition::<u32, &[u8]>::new("whole")).unwrap();
             for (shard, bytes) in &raw.whole {
-                whole.insert(*shard, unhex(bytes).as_slice()).unwrap();
+                whole.insert(*shard, from_hex(bytes).as_slice()).unwrap();
             }
             let mut ops = txn.open_table(TableDefinition::<(u32, u64), &[u8]>::new("ops")).unwrap();
             for (at, bytes) in &raw.ops {
-                ops.insert(*at, unhex(bytes).as_slice()).unwrap();
+                ops.insert(*at, from_hex(bytes).as_slice()).unwrap();
             }
         }
         txn.commit().unwrap();
     }
-    let OpenedStore { node: number, start, shards: held, .. } = open::<NegativeCacheShard>(&folder).unwrap();
-    assert_eq!((number, start), (0xabcd_ef01_2345_6789, 4));
-    assert_eq!(held, held_by_raw_store());
+    let OpenedStore { node, start, shards, .. } = open::<NegativeCacheShard>(&folder).unwrap();
+    assert_eq!((node, start), (0xabcd_ef01_2345_6789, 4));
+    assert_eq!(shards, shards_of_raw_store());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -162,9 +162,8 @@
 fn a_store_of_format_one_is_written_byte_for_byte() {
     let folder = store_folder("write");
     let raw = raw_store();
-    let OpenedStore { store, node: number, start, shards: held } =
-        open::<NegativeCacheShard>(&folder).unwrap();
-    assert_eq!((start, held.len()), (1, 0));
+    let OpenedStore { store, node, start, shards } = open::<NegativeCacheShard>(&folder).unwrap();
+    assert_eq!((start, shards.len()), (1, 0));
     store.commit(&writes_of_raw_store()).unwrap();
     let txn = store.database.begin_read().unwrap();
     let meta = txn.open_table(TableDefinition::<&str, u64>::new("meta")).unwrap();
@@ -174,16 +173,17 @@
         .map(|row| row.unwrap())
         .map(|(k, v)| (k.value().to_owned(), v.value()))
         .collect();
-    let fresh = [("format", 1), ("number", number), ("start", 1)].map(|(key, value)| (key.to_owned(), value));
-    assert_eq!(meta, fresh);
+    let expected_meta =
+        [("format", 1), ("number", node), ("start", 1)].map(|(key, value)| (key.to_owned(), value));
+    assert_eq!(meta, expected_meta);
     let whole = txn.open_table(TableDefinition::<u32, &[u8]>::new("whole")).unwrap();
     let whole: Vec<(u32, String)> =
-        whole.iter().unwrap().map(|row| row.unwrap()).map(|(k, v)| (k.value(), hex(v.value()))).collect();
+        whole.iter().unwrap().map(|row| row.unwrap()).map(|(k, v)| (k.value(), to_hex(v.value()))).collect();
     let expected: Vec<_> = raw.whole.iter().map(|(shard, bytes)| (*shard, (*bytes).to_owned())).collect();
     assert_eq!(whole, expected);
     let ops = txn.open_table(TableDefinition::<(u32, u64), &[u8]>::new("ops")).unwrap();
     let ops: Vec<((u32, u64), String)> =
-        ops.iter().unwrap().map(|row| row.unwrap()).map(|(k, v)| (k.value(), hex(v.value()))).collect();
+        ops.iter().unwrap().map(|row| row.unwrap()).map(|(k, v)| (k.value(), to_hex(v.value()))).collect();
     let expected: Vec<_> = raw.ops.iter().map(|(at, bytes)| (*at, (*bytes).to_owned())).collect();
     assert_eq!(ops, expected);
     std::fs::remove_dir_all(&folder).unwrap();
@@ -201,13 +201,13 @@
     assert!(matches!(another, Err(StoreError::OtherNode(number)) if number == node));
     let recovered = recover::<NegativeCacheShard>(&folder, node).unwrap();
     assert_eq!((recovered.node, recovered.start), (node, 2));
-    assert_eq!(recovered.shards, held_by_raw_store());
+    assert_eq!(recovered.shards, shards_of_raw_store());
     // It is written to as before, and the next process finds both.
     recovered.store.commit(&[StoreWrite::Append { shard: 7, seq: 2, operation: op(2) }]).unwrap();
     drop(recovered);
     let next = open::<NegativeCacheShard>(&folder).unwrap();
     assert_eq!((next.node, next.start), (node, 3));
-    let mut expected = held_by_raw_store();
+    let mut expected = shards_of_raw_store();
     (expected[1].seq, _) = (2, expected[1].content.apply(&op(2)));
     assert_eq!(next.shards, expected);
     let files: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|file| file.unwrap().file_name()).collect();
--- a/proxy/src/replication/tests.rs
+++ b/proxy/src/replication/tests.rs
@@ -13,19 +13,19 @@
 type Runtime = ReplicationRuntime<NegativeCacheShard>;
 
 /// A member that applies every change to one shard map, and takes every node to be up.
-fn start_member() -> SocketAddr {
+fn start_group_member() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let mut table = ShardMap::default();
         for stream in listener.incoming() {
-            let _ = answer_one(&mut stream.unwrap(), &mut table);
+            let _ = answer_request(&mut stream.unwrap(), &mut table);
         }
     });
     address
 }
 
-fn answer_one(stream: &mut TcpStream, table: &mut ShardMap) -> std::io::Result<()> {
+fn answer_request(stream: &mut TcpStream, table: &mut ShardMap) -> std::io::Result<()> {
     let (mut decoder, mut buffer) = (Decoder::with_most(MAX_FRAME), [0; 4096]);
     let (req, request) = loop {
         match decoder.next_frame() {
@@ -70,18 +70,18 @@
         copies: 1,
         least: 1,
     };
-    Runtime::start(config, vec![(1, start_member())], Drift::default(), name, executor).unwrap()
+    Runtime::start(config, vec![(1, start_group_member())], Drift::default(), name, executor).unwrap()
 }
 
 async fn invalidate(runtime: &Rc<Runtime>, limit: Duration) -> Response<NegativeCacheShard> {
     runtime.execute(0, Operation::Invalidate { key: b"k".to_vec() }, limit).await
 }
 
-async fn until_committed(runtime: &Rc<Runtime>) {
+async fn wait_until_committed(runtime: &Rc<Runtime>) {
     let until = Instant::now() + Duration::from_secs(10);
     while !matches!(invalidate(runtime, Duration::from_secs(1)).await, Response::Committed(_)) {
         assert!(Instant::now() < until, "nothing is ever committed");
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
 }
 
@@ -89,24 +89,24 @@
 fn requests_end_in_time_while_the_disk_stands_still() {
     const LIMIT: Duration = Duration::from_millis(10);
     // Each may wait for the next tick beside its limit; the rest is for a busy machine.
-    const MOST: Duration = Duration::from_millis(1_000);
+    const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1_000);
     let executor = Rc::new(LocalExecutor::new());
     let runtime = start_node("stalled", &executor);
     block_on(executor.run(async {
-        until_committed(&runtime).await;
+        wait_until_committed(&runtime).await;
         let stalled = Arc::clone(&runtime.store.borrow().as_ref().unwrap().stalled);
         stalled.store(true, Ordering::SeqCst);
         for n in 0..256 {
             let began = Instant::now();
             let request = async { Some(invalidate(&runtime, LIMIT).await) };
             let late = async {
-                Timer::after(MOST).await;
+                Timer::after(MAX_RESPONSE_TIME).await;
                 None
             };
             let response = futures_lite::future::or(request, late).await;
             assert!(response.is_some(), "request {n} has no response after {:?}", began.elapsed());
         }
         stalled.store(false, Ordering::SeqCst);
-        until_committed(&runtime).await;
+        wait_until_committed(&runtime).await;
     }));
 }
