--- a/cli/tests/group.rs
+++ b/cli/tests/group.rs
@@ -363,12 +363,12 @@
             assert!(began.elapsed() < Duration::from_secs(1), "{when}: {:?}", began.elapsed());
         }
     };
-    proxy.logged("leases: holds warm");
+    proxy.logged("leases: acquired warm");
     serves("there");
     for member in fleet.members.values_mut() {
         member.pause().unwrap();
     }
-    proxy.logged("leases: holds warm no more");
+    proxy.logged("leases: no longer holds warm");
     serves("paused");
     for member in fleet.members.values_mut() {
         member.kill().unwrap();
--- a/proxy/src/group/ask.rs
+++ b/proxy/src/group/ask.rs
@@ -1,4 +1,5 @@
-//! One request to the group, by whoever has no connection to keep: operators, and a new member.
+//! Single requests to the lease group, each on a connection of its own. Operator commands, replica nodes and starting
+//! members use them; a holder of leases keeps a session instead.
 
 use super::frames::Frames;
 use super::with_timeout;
@@ -11,11 +12,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A member answers one try within this time or is passed over.
+/// Time for one attempt, from connecting to the answer.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause after a failed attempt, before the next member is tried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Asks one member once.
+/// Sends a request to one member on a new connection and returns the answer.
 pub async fn once(endpoint: SocketAddr, request: &Request) -> io::Result<Answer> {
     let exchange = async {
         let io = Async::<TcpStream>::connect(endpoint).await?;
@@ -31,21 +33,23 @@
     with_timeout(ATTEMPT_TIMEOUT, exchange).await
 }
 
-/// Asks until the leader has answered or the time is up; the error says who could not be asked. A
-/// request is sent again where its answer did not come: each of them is safe to repeat.
+/// Sends a request to the leader, trying one member after another until `timeout` has passed. The error contains the
+/// reason of the last failed attempt.
+///
+/// A request is sent again after an attempt without an answer, so it must be safe to repeat.
 pub async fn leader(endpoints: &[Endpoint], request: &Request, timeout: Duration) -> Result<Answer, String> {
     let deadline = Instant::now() + timeout;
-    let mut endpoint = endpoints.first().ok_or("no member to ask")?.1;
-    let mut last_error = String::from("nobody was asked");
+    let mut endpoint = endpoints.first().ok_or("no group member is configured")?.1;
+    let mut last_error = String::from("no attempt was made");
     while Instant::now() < deadline {
         let delay = match once(endpoint, request).await {
             Ok(Answer::NotLeader { leader, at }) => {
-                last_error = format!("{endpoint} does not lead and knows of no other that does");
+                last_error = format!("{endpoint} is not the leader");
                 endpoint = next_endpoint(endpoints, endpoint, leader, at);
                 RETRY_DELAY
             }
             Ok(Answer::Later { retry_after_ms }) => {
-                last_error = format!("{endpoint} asks to come again later");
+                last_error = format!("{endpoint} asked to retry later");
                 Duration::from_millis(retry_after_ms)
             }
             Ok(answer) => return Ok(answer),
@@ -57,5 +61,5 @@
         };
         Timer::after(delay.min(deadline.saturating_duration_since(Instant::now()))).await;
     }
-    Err(format!("the group did not answer in {} ms: {last_error}", timeout.as_millis()))
+    Err(format!("the group did not answer within {} ms: {last_error}", timeout.as_millis()))
 }
--- a/proxy/src/group/frames.rs
+++ b/proxy/src/group/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on a socket.
+//! Reads and writes the group's frames on a TCP connection.
 
 use super::with_timeout;
 use async_channel::Receiver;
@@ -9,9 +9,9 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Bytes of frames that are written at once.
+/// Encoded size at which a batch takes no further frame, and the size of one write.
 const MAX_WRITE_BATCH_BYTES: usize = 64 * 1024;
-/// A peer that takes nothing for so long is cut off.
+/// The connection ends if one write does not finish within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reads frames from one connection.
@@ -22,12 +22,12 @@
 }
 
 impl<'a> Frames<'a> {
-    /// Frames up to this size.
+    /// A reader that rejects frames larger than `max_frame_bytes`.
     pub(super) fn new(io: &'a Async<TcpStream>, max_frame_bytes: usize) -> Frames<'a> {
         Frames { io, decoder: Decoder::with_most(max_frame_bytes), buffer: vec![0; 16 * 1024] }
     }
 
-    /// The next one; `None` where the other side has ended.
+    /// The next frame with its encoded size in bytes, or `None` once the other side has closed the connection.
     pub(super) async fn next(&mut self) -> io::Result<Option<(Frame, usize)>> {
         loop {
             let before = self.decoder.held();
@@ -45,8 +45,8 @@
     }
 }
 
-/// Writes what comes by the channel until it is closed, many frames at once if they are there.
-/// `on_sent` is told of each write: its frames, and its bytes.
+/// Writes the frames of the channel until it is closed, batching those that are queued. After each batch `on_sent` is
+/// called with its frames and its size in bytes.
 pub(super) async fn write(
     io: &Async<TcpStream>,
     frames: &Receiver<Frame>,
@@ -61,7 +61,7 @@
             encode(&next, &mut bytes);
             batch.push(next);
         }
-        // A large frame goes in pieces, each with its own time.
+        // Each chunk has its own timeout, so that a large snapshot may take longer than a single one.
         for chunk in bytes.chunks(MAX_WRITE_BATCH_BYTES) {
             with_timeout(WRITE_TIMEOUT, writer.write_all(chunk)).await?;
         }
--- a/proxy/src/group/mod.rs
+++ b/proxy/src/group/mod.rs
@@ -1,6 +1,6 @@
-//! The lease group on sockets: a member's driver, what a proxy or an operator asks of the group,
-//! and the tasks that a proxy does for the fleet while it holds them. What is decided is in
-//! `notchdoor-coordination`; here are sockets, the disk and the clock.
+//! Network I/O of the lease group: the process of a member, requests to the group, and the fleet-wide tasks that a proxy
+//! runs while it holds their leases. The protocol itself is in `notchdoor-coordination`; this module adds sockets, the
+//! disk and the clock.
 
 pub mod ask;
 mod frames;
@@ -12,7 +12,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A monotonic clock in milliseconds, from the start of the process's part in the group.
+/// A monotonic clock that counts milliseconds from its creation.
 #[derive(Clone, Copy)]
 pub(crate) struct MonotonicClock(Instant);
 
@@ -26,32 +26,32 @@
     }
 
     pub(crate) fn instant(&self, at: Millis) -> Instant {
-        // What is never due is due in an hour, and looked at again.
+        // Limited to one hour from now: `Millis::MAX` stands for never, and callers recompute the time when woken.
         self.0.checked_add(Duration::from_millis(at.min(self.now() + 3_600_000))).unwrap_or(self.0)
     }
 }
 
-/// The work, or an error once the time is up.
+/// Runs `work` for at most `limit`, then returns a `TimedOut` error.
 pub(crate) async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
-    let late = async {
+    let timeout = async {
         async_io::Timer::after(limit).await;
-        Err(io::Error::new(io::ErrorKind::TimedOut, format!("nothing for {} ms", limit.as_millis())))
+        Err(io::Error::new(io::ErrorKind::TimedOut, format!("timed out after {} ms", limit.as_millis())))
     };
-    futures_lite::future::or(work, late).await
+    futures_lite::future::or(work, timeout).await
 }
 
-/// The time that all machines read, in Unix milliseconds.
+/// The wall clock in Unix milliseconds.
 pub(crate) fn unix_ms() -> Millis {
-    // Shared by all machines of the fleet: entries of the negative cache are stamped with it.
+    // Tombstones of the negative cache carry a timestamp that other machines compare with their own clock.
     #[allow(clippy::disallowed_methods)]
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as Millis
 }
 
-/// A number that no earlier start of this process had, as far as chance goes.
+/// A random number that tells this start of the process, or a new store, from every other one.
 pub(crate) fn random_id() -> u64 {
     rand::random()
 }
--- a/proxy/src/group/node.rs
+++ b/proxy/src/group/node.rs
@@ -1,6 +1,7 @@
-//! A member of the lease group as a process: its sockets, its disk and its clock round
-//! [`RaftNode`]. One thread; whatever has come is fed, then one `advance`, so that many requests
-//! share one fsync.
+//! The process of a lease group member: drives a [`RaftNode`] with sockets, a store on disk and a clock.
+//!
+//! It runs on one thread. Each iteration passes all queued events to the node and then calls `advance` once, so that many
+//! requests share one fsync.
 
 mod accept;
 mod clients;
@@ -30,32 +31,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What has come and waits for its turn; whoever brings more waits with it.
+/// Events that are queued for the node, and handled in one iteration; connections stop reading while the queue is full.
 const MAX_QUEUED_EVENTS: usize = 4096;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before another attempt to connect to a member.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A new member asks the others so often how to and says so often for whom it waits.
+/// How often a starting member asks the others how to start.
 const HELLO_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a starting member logs which members it waits for. Also the timeout of its request to be enlisted.
 const WAIT_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// A leader that stops waits so long for another to take the lead.
+/// How long a stopping leader waits for another member to become the leader.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// An event for the node.
 enum Inbound {
     Peer(Message),
+    /// The connection's number, the client's number of the request, and the request.
     Request(u64, u64, Request),
+    /// A member to which messages were lost.
     Unreachable(u64),
+    /// A member, and whether the snapshot for it was written completely.
     SnapshotSent(u64, bool),
 }
 
-/// The way to a member.
+/// The outbound queue of another member.
 struct PeerQueue {
-    /// What waits for it.
     frames: Sender<Frame>,
-    /// Keeps the connection for as long as this lives.
+    /// Writes the queue to the member; dropping it closes the connection.
     _connection: Task<()>,
 }
 
-/// Counters of the sockets, for `status`.
+/// Traffic counters that the answer to a status request contains.
 #[derive(Default)]
 struct SocketCounters {
     messages_out: Cell<u64>,
@@ -72,13 +78,13 @@
     counter.set(counter.get() + n as u64);
 }
 
-/// A client's request: whose it is, and the client's own number of it.
+/// Identifies a request: the connection that it came on, and the client's number of it.
 struct ClientRequest {
     client: u64,
     req: u64,
 }
 
-/// Requests that wait for a round, by the node's number of them.
+/// Requests that the node has not answered yet, by the number that the node knows them by.
 #[derive(Default)]
 struct PendingRequests {
     requests: HashMap<u64, ClientRequest>,
@@ -92,18 +98,19 @@
     clients: RefCell<HashMap<u64, Sender<Frame>>>,
     next_client: Cell<u64>,
     peers: RefCell<BTreeMap<u64, PeerQueue>>,
-    /// What a hello is answered with.
+    /// The answer to a hello.
     hello: RefCell<Handshake>,
+    /// Whether the node has started; before that only hellos are answered.
     live: Cell<bool>,
     counters: SocketCounters,
 }
 
-/// Runs a member until a signal asks for a stop. The error is one line.
+/// Runs a member until SIGTERM or SIGINT. The error is a single line.
 pub fn run(config: GroupConfig, format: Format, level: Option<&str>) -> Result<(), String> {
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     log::start(&format!("m{}", config.id), format, level);
     std::fs::create_dir_all(&config.data)
-        .map_err(|e| format!("group.data: cannot make {}: {e}", config.data.display()))?;
+        .map_err(|e| format!("group.data: cannot create directory {}: {e}", config.data.display()))?;
     let file = config.data.join("member.redb");
     let (store, stage) = DiskStore::open(&file, config.id, random_id()).map_err(|e| e.to_string())?;
     let me = *config.me();
@@ -111,7 +118,7 @@
         Async::<TcpListener>::bind(at).map_err(|e| format!("member.{what}: cannot listen on {at}: {e}"))
     };
     let (peers, clients) = (bind("peer", me.peer)?, bind("client", me.client)?);
-    info!(member = me.id, peer:% = me.peer, client:% = me.client; "started, member {} at {}, clients at {}", me.id, me.peer, me.client);
+    info!(member = me.id, peer:% = me.peer, client:% = me.client; "member {} started, listening on {} for members and on {} for clients", me.id, me.peer, me.client);
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, inbound) = async_channel::bounded(MAX_QUEUED_EVENTS);
     let runtime = Rc::new(MemberRuntime {
@@ -159,15 +166,17 @@
             guard: self.config.guard.clone(),
         };
         let clock = MonotonicClock::start();
-        let member = RaftNode::new(begin, store, clock.now()).map_err(|e| format!("the store: {e}"))?;
+        let member = RaftNode::new(begin, store, clock.now())
+            .map_err(|e| format!("cannot load the member's store: {e}"))?;
         self.hello.replace(Handshake::Live { founders: founders.clone(), book: member.book().clone() });
         self.live.set(true);
         let applied = member.table().applied();
-        info!(applied; "member of a group, state up to entry {applied}");
+        info!(applied; "joined the group, state restored up to log entry {applied}");
         self.run_member(member, founders, clock, inbound, signals).await
     }
 
-    /// How a new store starts: see `docs/leases-design.md`. Nothing is voted before this ends.
+    /// Determines the founding members for a new store, by asking the other members; see `docs/leases-design.md`. The member
+    /// neither votes nor accepts entries before this returns.
     async fn bootstrap(&self, store: &DiskStore) -> Result<Membership, String> {
         let me = *self.config.me();
         let others: Vec<MemberAddr> = self.config.members.iter().filter(|m| m.id != me.id).copied().collect();
@@ -187,10 +196,10 @@
                     let enlist = Request::Enlist { id: me.id, number: store.number() };
                     match ask::leader(&endpoints, &enlist, WAIT_LOG_INTERVAL).await {
                         Ok(Answer::Enlisted(true)) => founders,
-                        // Another store of this id was faster: the next hello says so.
+                        // Another store with this id was enlisted first; the next hello reports it.
                         Ok(_) => continue,
                         Err(why) => {
-                            warn!("cannot enlist: {why}");
+                            warn!("cannot enlist with the group: {why}");
                             continue;
                         }
                     }
@@ -199,7 +208,7 @@
                 StartDecision::Wait(missing) => {
                     if last_logged.is_none_or(|at| at.elapsed() >= WAIT_LOG_INTERVAL) {
                         last_logged = Some(Instant::now());
-                        info!(missing:? = missing; "a new store: waiting for members {missing:?}");
+                        info!(missing:? = missing; "new store: waiting for members {missing:?} to answer");
                     }
                     Timer::after(HELLO_INTERVAL).await;
                     continue;
@@ -247,7 +256,7 @@
                     }
                     None
                 };
-                // Signals before messages before the clock.
+                // `or` polls in order: signals come before events, and events before the timer.
                 future::or(leaving, future::or(event, tick)).await
             };
             if let Some(since) = stopping {
@@ -266,7 +275,7 @@
         }
     }
 
-    /// Feeds what has come, up to a bound, so that many requests share one round and its fsync.
+    /// Passes queued events to the node, up to `MAX_QUEUED_EVENTS` of them.
     fn process_inbound(
         &self,
         member: &mut RaftNode<DiskStore>,
@@ -294,10 +303,10 @@
         }
     }
 
-    /// One round of the node: what it hands out goes to members, clients and the log.
+    /// Advances the node and sends its output to members, clients and the log.
     ///
-    /// An error ends the process. A failed write or sync leaves it open what the disk has, and a member that went on
-    /// could promise entries or a vote that a restart does not find; the others go on without it.
+    /// An error ends the process: after a failed write or sync the contents of the disk are unknown, and a member that
+    /// continued could acknowledge entries or a vote that are lost by a restart.
     fn advance(
         self: &Rc<Self>,
         member: &mut RaftNode<DiskStore>,
@@ -306,9 +315,9 @@
         now: Millis,
     ) -> Result<(), String> {
         let leader = member.leader();
-        let out = member.advance(now).map_err(|e| format!("the store failed, stopping: {e}"))?;
+        let out = member.advance(now).map_err(|e| format!("stopping, the member's store failed: {e}"))?;
         if member.leader() == 0 && leader != 0 {
-            warn!(term = member.status().term; "no leader");
+            warn!(term = member.status().term; "the group has no leader");
         }
         for (number, answer) in out.answers {
             if let Some(ClientRequest { client, req }) = pending.requests.remove(&number) {
--- a/proxy/src/group/node/accept.rs
+++ b/proxy/src/group/node/accept.rs
@@ -1,14 +1,14 @@
-//! Accepting connections, and which of its errors are worth a pause.
+//! Accepts connections, with a pause after errors that affect all of them.
 
 use ::log::debug;
 use async_io::{Async, Timer};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The pause after an accept that failed for want of descriptors or memory.
+/// Pause after an accept that failed for lack of file descriptors or memory.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The next connection; `None` where there is none yet.
+/// Accepts the next connection. `None` after an error, which is logged at debug level.
 pub(super) async fn accept(listener: &Async<TcpListener>) -> Option<Async<TcpStream>> {
     match listener.accept().await {
         Ok((io, _)) => {
@@ -16,9 +16,8 @@
             Some(io)
         }
         Err(error) => {
-            debug!("cannot accept: {error}");
+            debug!("cannot accept a connection: {error}");
             if !is_connection_error(&error) {
-                // Out of descriptors or memory: the next try does better once some are given back.
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None
@@ -26,9 +25,9 @@
     }
 }
 
-/// Whether an error of accept is that of one connection, or no error at all: others wait behind it.
+/// Whether an error of `accept` concerns a single connection only, so that the next one can be accepted at once.
 fn is_connection_error(error: &std::io::Error) -> bool {
-    /// A protocol error of the connection, as Linux passes it on.
+    /// Linux reports pending network errors of the new connection by `accept`.
     const EPROTO: i32 = 71;
     matches!(error.kind(), std::io::ErrorKind::Interrupted | std::io::ErrorKind::ConnectionAborted)
         || error.raw_os_error() == Some(EPROTO)
--- a/proxy/src/group/node/clients.rs
+++ b/proxy/src/group/node/clients.rs
@@ -1,4 +1,4 @@
-//! A member's connections with clients: requests in, answers out.
+//! Client connections of a member: reads requests and writes answers.
 
 use super::accept::accept;
 use super::{add_to_counter, Inbound, MemberRuntime, HELLO_INTERVAL};
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections of clients at the most.
+/// Open client connections; further ones are closed.
 const MAX_CLIENT_CONNECTIONS: usize = 4096;
-/// Frames that wait for one client; one that takes less is cut off.
+/// Answers queued for one client; a client that reads too slowly is disconnected.
 const MAX_QUEUED_CLIENT_FRAMES: usize = 256;
-/// A client that asks nothing for so long is let go.
+/// A connection without a request for this time is closed.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 impl MemberRuntime {
@@ -48,7 +48,7 @@
     pub(super) fn reply(&self, client: u64, frame: Frame) {
         let mut clients = self.clients.borrow_mut();
         if clients.get(&client).is_some_and(|to| to.try_send(frame).is_err()) {
-            // It takes nothing; without its sender its connection ends.
+            // The queue is full. Dropping its sender ends the connection.
             clients.remove(&client);
         }
     }
@@ -57,7 +57,7 @@
         loop {
             let Some(io) = accept(&listener).await else { continue };
             if self.clients.borrow().len() >= MAX_CLIENT_CONNECTIONS {
-                debug!("a client's connection is closed: {MAX_CLIENT_CONNECTIONS} are open");
+                debug!("client connection closed: limit of {MAX_CLIENT_CONNECTIONS} connections reached");
                 continue;
             }
             let client = self.next_client.get();
@@ -77,7 +77,7 @@
         let written = async {
             let sent = |_: &[Frame], bytes: usize| add_to_counter(&self.counters.client_bytes_out, bytes);
             if let Err(error) = frames::write(&io, &answers, sent).await {
-                debug!("a client's connection: {error}");
+                debug!("client connection: cannot write: {error}");
             }
         };
         future::or(self.read_requests(client, &io), written).await;
@@ -101,9 +101,11 @@
                         return;
                     }
                 }
-                Ok(Some(_)) => return debug!("a client's connection carries a member's frame, closed"),
+                Ok(Some(_)) => {
+                    return debug!("client connection closed: received a frame that only members send")
+                }
                 Ok(None) => return,
-                Err(error) => return debug!("a client's connection: {error}"),
+                Err(error) => return debug!("client connection: cannot read: {error}"),
             }
         }
     }
--- a/proxy/src/group/node/events.rs
+++ b/proxy/src/group/node/events.rs
@@ -1,27 +1,27 @@
-//! What a member's Raft node did, as log lines.
+//! Log lines for the events of a member's Raft node.
 
 use ::log::{debug, info, log, Level};
 use notchdoor_coordination::lease::{task_of, Command, Outcome};
 use notchdoor_coordination::raft_node::Event;
 
-/// One log line for what operators want to know of; followers tell it at debug, since the leader does.
+/// Logs an event. Changes of leases and versions are logged at info level by the leader and at debug level by followers.
 pub(super) fn log_event(event: &Event, leads: bool) {
     let level = if leads { Level::Info } else { Level::Debug };
     match event {
         Event::Leader { id, term } => {
-            info!(event = "leader", leader = *id, term = *term; "leader is {id}, term {term}");
+            info!(event = "leader", leader = *id, term = *term; "member {id} is the leader of term {term}");
         }
         Event::Members { id, now } => {
             info!(event = "members", member = *id, now = *now; "member {id} is now {now}");
         }
         Event::Proposed { outcome, index } => {
-            log!(level, event = "proposal", index = *index; "a version was proposed: {outcome:?}");
+            log!(level, event = "proposal", index = *index; "configuration version proposed: {outcome:?}");
         }
         Event::Copies { index, change } => {
-            log!(level, event = "copies", index = *index; "copies: {change:?}");
+            log!(level, event = "copies", index = *index; "shard map changed: {change:?}");
         }
         Event::InForce { number } => {
-            log!(level, event = "in_force", version = *number; "version {number} is in force");
+            log!(level, event = "in_force", version = *number; "configuration version {number} is in force");
         }
         Event::Applied { index, command, outcome } => {
             let task = task_of(command);
@@ -33,17 +33,17 @@
                 Command::Expire { .. } => "leader",
             };
             let (what, token) = match outcome {
-                // A repeated acquire of the holder's own goes on with its token.
+                // An acquire by the current holder keeps its token: it is a renewal.
                 Outcome::Granted { token, .. } if token == index => ("grant", *token),
                 Outcome::Granted { token, .. } | Outcome::Renewed { token, .. } => ("renewal", *token),
                 Outcome::Released { token } => ("release", *token),
                 Outcome::Expired { token } => ("expiry", *token),
                 Outcome::Revoked { token } => ("revocation", *token),
                 Outcome::Refused(why) => {
-                    return debug!(event = "refusal", task, holder, index = *index; "refused {task} to {holder}: {why:?}")
+                    return debug!(event = "refusal", task, holder, index = *index; "request of {holder} for task {task} refused: {why:?}")
                 }
             };
-            log!(level, event = what, task, holder, token, index = *index; "{what} of {task}, {holder}, token {token}");
+            log!(level, event = what, task, holder, token, index = *index; "{what} of task {task}, holder {holder}, token {token}");
         }
     }
 }
--- a/proxy/src/group/node/peers.rs
+++ b/proxy/src/group/node/peers.rs
@@ -1,4 +1,5 @@
-//! A member's connections with the other members: one that it dials for what it has to say, and those it hears on.
+//! Connections between members. Each member writes to the connections that it opens and reads from those that it
+//! accepts.
 
 use super::accept::accept;
 use super::{add_to_counter, Inbound, MemberRuntime, PeerQueue, CONNECT_TIMEOUT, RECONNECT_DELAY};
@@ -14,13 +15,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Connections of members at the most.
+/// Accepted connections of members; further ones are closed.
 const MAX_PEER_CONNECTIONS: usize = 64;
-/// Frames that wait for one member. A member that takes less loses the rest, which raft-rs sends again.
+/// Frames queued for one member. Further ones are dropped, and Raft sends their contents again.
 const MAX_QUEUED_PEER_FRAMES: usize = 1024;
 
 impl MemberRuntime {
-    /// Hands messages to the members they are for; dials those that are new, lets go of those that left.
+    /// Queues messages for their members. Opens connections to new members and closes those to removed ones.
     pub(super) fn send(self: &Rc<Self>, messages: Vec<Message>, book: &Membership) {
         let mut peers = self.peers.borrow_mut();
         peers.retain(|id, _| book.members().contains_key(id));
@@ -28,7 +29,7 @@
             let to = message.to;
             let Some(listed) = book.members().get(&to) else { continue };
             let peer = peers.entry(to).or_insert_with(|| {
-                // What the member's own file says goes first: it may lead through a relay.
+                // The address in this member's configuration takes precedence, since it may be that of a relay.
                 let own = self.config.members.iter().find(|m| m.id == to);
                 let at = own.map_or(listed.at.peer, |m| m.peer);
                 let (sender, frames) = async_channel::bounded(MAX_QUEUED_PEER_FRAMES);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Keeps one connection to a member, for what this one has to say to it.
+    /// Writes the queued frames to a member and reconnects after errors, until the queue is closed.
     pub(super) async fn keep_connected(self: Rc<Self>, id: u64, at: SocketAddr, frames: Receiver<Frame>) {
         let mut reached = true;
         loop {
@@ -54,7 +55,7 @@
                 Ok(io) => {
                     let _ = io.get_ref().set_nodelay(true);
                     if !std::mem::replace(&mut reached, true) {
-                        info!(member = id; "member {id} reached again");
+                        info!(member = id; "member {id} is reachable again");
                     }
                     let sent = |batch: &[Frame], bytes: usize| {
                         add_to_counter(&self.counters.messages_out, batch.len());
@@ -64,7 +65,7 @@
                         }
                     };
                     let written = frames::write(&io, &frames, sent);
-                    // The other side says nothing on this connection: whatever comes is its end.
+                    // The other side never writes on this connection, so that it only becomes readable when it is closed.
                     let ended = async {
                         let _ = io.readable().await;
                         Err(std::io::ErrorKind::ConnectionReset.into())
@@ -78,9 +79,10 @@
             }
             if let Err(error) = ended {
                 let level = if std::mem::replace(&mut reached, false) { Level::Warn } else { Level::Debug };
-                log!(level, member = id; "member {id} at {at}: {error}");
+                log!(level, member = id; "cannot reach member {id} at {at}: {error}");
             }
-            // What waits is old by the time there is a connection; a lost snapshot has to be told.
+            // Queued frames would be outdated by the time of the next connection. The node must learn that a snapshot was
+            // lost, or it would wait for it.
             while let Ok(frame) = frames.try_recv() {
                 if frame.is_snapshot() {
                     let _ = self.inbox.try_send(Inbound::SnapshotSent(id, false));
@@ -98,7 +100,7 @@
             let Some(io) = accept(&listener).await else { continue };
             open.retain(|task| !task.is_finished());
             if open.len() >= MAX_PEER_CONNECTIONS {
-                warn!("a member's connection is closed: {MAX_PEER_CONNECTIONS} are open");
+                warn!("member connection closed: limit of {MAX_PEER_CONNECTIONS} connections reached");
                 continue;
             }
             open.push(self.executor.spawn(Rc::clone(&self).read_messages(io)));
@@ -112,14 +114,16 @@
                 Ok(Some((Frame::Peer(message), bytes))) => {
                     add_to_counter(&self.counters.messages_in, 1);
                     add_to_counter(&self.counters.bytes_in, bytes);
-                    // A member that is not live yet has no vote and no log to give.
+                    // Before the node has started there is no log to answer from.
                     if self.live.get() && self.inbox.send(Inbound::Peer(message)).await.is_err() {
                         return;
                     }
                 }
-                Ok(Some(_)) => return warn!("a member's connection carries a client's frame, closed"),
+                Ok(Some(_)) => {
+                    return warn!("member connection closed: received a frame that only clients send")
+                }
                 Ok(None) => return,
-                Err(error) => return debug!("a member's connection: {error}"),
+                Err(error) => return debug!("member connection: cannot read: {error}"),
             }
         }
     }
--- a/proxy/src/group/tasks.rs
+++ b/proxy/src/group/tasks.rs
@@ -1,5 +1,5 @@
-//! What a proxy does for the whole fleet while it holds the lease for it: one call, again and
-//! again, with its token. Nothing that serves clients waits on any of this.
+//! Fleet-wide tasks: an HTTP call that the holder of a task's lease makes at an interval, with its fencing token.
+//! Requests of clients never wait for this module.
 
 use super::frames::Frames;
 use super::{random_id, with_timeout, MonotonicClock};
@@ -20,9 +20,9 @@
 use std::time::{Duration, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call that takes longer is given up, and so is one that its holder's time runs out on.
+/// Timeout of a call. A call also ends when the lease does.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The status with which the side that is acted on refuses an old token.
+/// The HTTP status by which the called service rejects a fencing token older than one that it has seen.
 const STALE_TOKEN_STATUS: u16 = 409;
 
 /// The fleet-wide tasks of one process.
@@ -31,9 +31,9 @@
     holder: String,
     session: RefCell<Session>,
     clock: MonotonicClock,
-    /// Something has changed that the connection to the group should see to.
+    /// Wakes the connection to the group after a change of the session.
     session_changed: (Sender<()>, Receiver<()>),
-    /// The group has said something about versions.
+    /// Notified when the group confirms the configuration versions.
     versions_changed: (Sender<()>, Receiver<()>),
     /// Whether the group was last logged as reached; `None` before the first log line.
     group_reached: Cell<Option<bool>>,
@@ -42,8 +42,8 @@
 }
 
 impl Tasks {
-    /// Begins to want the file's tasks. The holder is this start of the process alone: an upgrade's
-    /// two processes, or one before and after a crash, are two holders.
+    /// Starts to request the leases of the configured tasks. The holder's name is unique to this start of the process, so
+    /// that the two processes of a hot restart, or one before and after a crash, are different holders.
     pub fn start(config: TasksConfig, name: &str, executor: &LocalExecutor<'static>) -> Rc<Tasks> {
         let number = random_id();
         let sanitized: String =
@@ -65,7 +65,7 @@
             versions_changed: async_channel::bounded(1),
         });
         let (count, holder) = (requested.len(), &tasks.holder);
-        log::info!(tasks = count, holder; "leases: {count} tasks of the fleet wanted, as {holder}");
+        log::info!(tasks = count, holder; "leases: requesting {count} tasks as holder {holder}");
         executor.spawn(Rc::clone(&tasks).keep_connected()).detach();
         for index in 0..count {
             executor.spawn(Rc::clone(&tasks).run_task(index)).detach();
@@ -73,28 +73,28 @@
         tasks
     }
 
-    /// What versions may forbid, where this process acts on them.
+    /// The rules that apply while no configuration version is confirmed; `None` if versions are not in use.
     pub fn guard(&self) -> Option<&BlockRules> {
         self.config.guard.as_ref()
     }
 
-    /// Waits for the group's next word on versions: what is acted on from when to when, each time as how far
-    /// off it is.
+    /// Waits for the next confirmation of the configuration versions. Returns which version applies from when on, as the
+    /// time from now; `None` stands for the guard rules.
     pub async fn planned(&self) -> Vec<(Duration, Option<Version>)> {
-        // The sender lives as long as this does.
+        // Cannot fail: `self` owns the sender.
         let _ = self.versions_changed.1.recv().await;
         let now = self.clock.now();
         let plan = self.session.borrow_mut().versions().map(|v| v.plan(now)).unwrap_or_default();
         plan.into_iter().map(|(at, v)| (Duration::from_millis(at.saturating_sub(now)), v)).collect()
     }
 
-    /// Gives the grants back, so that others need not wait for their end. Acting ends at once.
+    /// Releases all leases, so that other proxies need not wait for their expiry. No further calls are made.
     pub fn leave(&self) {
         self.session.borrow_mut().release_all(self.clock.now());
         let _ = self.session_changed.0.try_send(());
     }
 
-    /// Keeps the connection to the group.
+    /// Keeps a connection to the group, moving to another member when the session asks for it.
     async fn keep_connected(self: Rc<Self>) {
         loop {
             let (endpoint, at) = self.session.borrow().current_member();
@@ -109,20 +109,21 @@
             if let Err(error) = ended {
                 self.session.borrow_mut().connection_failed(self.clock.now());
                 if self.group_reached.replace(Some(false)) != Some(false) {
-                    log::warn!(endpoint:%; "leases: {endpoint} not reached, serving goes on without: {error}");
+                    log::warn!(endpoint:%; "leases: cannot reach group member {endpoint}, requests are served without leases: {error}");
                 }
             }
             self.log_lease_changes();
         }
     }
 
-    /// Asks one member until another is to be asked, or this one is of no use.
+    /// Exchanges requests and answers with one member. Returns when the session moves to another member; the error says
+    /// why the connection cannot be used any longer.
     async fn run_session(&self, io: &Async<TcpStream>) -> io::Result<()> {
         let (mut frames, mut writer) = (Frames::new(io, MAX_CLIENT_FRAME_BYTES), io);
         loop {
             let now = self.clock.now();
             if self.session.borrow().stalled(now) {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "no answer"));
+                return Err(io::Error::new(io::ErrorKind::TimedOut, "the member did not answer"));
             }
             let mut bytes = Vec::new();
             for (req, request) in self.session.borrow_mut().due(now) {
@@ -142,13 +143,13 @@
             match future::or(async { frames.next().await.map(Some) }, wake).await? {
                 None => {}
                 Some(Some((Frame::Answer { req, answer }, _))) => {
-                    // A connection that comes up may be that of a process that does nothing.
+                    // Logged at the first answer: a process that accepts connections may still not answer.
                     if self.group_reached.replace(Some(true)) != Some(true) {
                         let endpoint = self.session.borrow().current_member().0;
-                        log::info!(endpoint:%; "leases: the group is reached at {endpoint}");
+                        log::info!(endpoint:%; "leases: connected to group member {endpoint}");
                     }
                     if matches!(answer, Answer::Confirmed(_)) {
-                        // Full means that the last word has not been taken up yet, and this one comes with it.
+                        // If the channel is full, the receiver has yet to wake and will read this confirmation too.
                         let _ = self.versions_changed.0.try_send(());
                     }
                     let moves = self.session.borrow_mut().answered(req, &answer, self.clock.now());
@@ -163,24 +164,24 @@
         }
     }
 
-    /// One log line for each task that is held anew, or no more.
+    /// Logs each lease that was acquired or lost since the last call.
     fn log_lease_changes(&self) {
         let (session, now) = (self.session.borrow(), self.clock.now());
-        for (task, logged_tokens) in session.tasks().iter().zip(self.logged_tokens.borrow_mut().iter_mut()) {
+        for (task, logged) in session.tasks().iter().zip(self.logged_tokens.borrow_mut().iter_mut()) {
             let (held, name) = (task.token(now), task.task());
-            match (held, std::mem::replace(logged_tokens, held)) {
+            match (held, std::mem::replace(logged, held)) {
                 (Some(token), before) if before != Some(token) => {
-                    log::info!(event = "holds", task = name, token; "leases: holds {name}, token {token}");
+                    log::info!(event = "holds", task = name, token; "leases: acquired {name}, token {token}");
                 }
                 (None, Some(token)) => {
-                    log::info!(event = "ends", task = name, token; "leases: holds {name} no more, token {token}");
+                    log::info!(event = "ends", task = name, token; "leases: no longer holds {name}, token {token}");
                 }
                 _ => {}
             }
         }
     }
 
-    /// Does a task for as long as it is held.
+    /// Makes the call of a task at its interval, whenever the lease is held.
     async fn run_task(self: Rc<Self>, index: usize) {
         let Some(task) = self.config.tasks.get(index) else { return };
         let every = Duration::from_millis(task.every_ms);
@@ -191,17 +192,18 @@
                 None => {}
                 Some(Ok(STALE_TOKEN_STATUS)) => {}
                 Some(Ok(status)) if (200..300).contains(&status) => failing = false,
-                // Told once for as long as it lasts.
+                // A series of failures is logged once.
                 Some(ended) if !std::mem::replace(&mut failing, true) => {
                     let (name, at) = (&task.name, task.call);
-                    log::warn!(task = name, at:%; "leases: {name} at {at}: {ended:?}");
+                    log::warn!(task = name, at:%; "leases: call of task {name} to {at} failed: {ended:?}");
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// One call, if the task is held: the holder's clock is asked last, right before the send.
+    /// Makes one call if the lease is held; `None` if it is not. The lease is checked again right before sending, since
+    /// connecting takes time.
     async fn call(&self, index: usize, task: &Task) -> Option<io::Result<u16>> {
         let held = || {
             let session = self.session.borrow();
@@ -221,7 +223,7 @@
         let answered = with_timeout(limit(until), exchange(&io, &request)).await;
         if let Ok(STALE_TOKEN_STATUS) = answered {
             let name = &task.name;
-            log::warn!(event = "fenced", task = name, token; "leases: {name}: token {token} is refused as old");
+            log::warn!(event = "fenced", task = name, token; "leases: token {token} of task {name} was rejected as stale");
             self.session.borrow_mut().fenced(index, token, self.clock.now());
             let _ = self.session_changed.0.try_send(());
         }
@@ -238,7 +240,7 @@
     .into_bytes()
 }
 
-/// Sends the request and reads the status of its answer.
+/// Sends an HTTP request and returns the status of the response.
 async fn exchange(io: &Async<TcpStream>, request: &[u8]) -> io::Result<u16> {
     let (mut stream, mut decoder, mut buffer) = (io, Decoder::default(), [0; 2048]);
     stream.write_all(request).await?;
--- a/proxy/src/negative_cache/mod.rs
+++ b/proxy/src/negative_cache/mod.rs
@@ -1,5 +1,5 @@
-//! The negative cache on a proxy's way to the origin: queried before a lookup, filled after one, and invalidated before
-//! a write's receipt.
+//! The proxy's client of the negative cache, which records keys that the origin does not have: queried before a lookup at
+//! the origin, filled after a miss, and invalidated before a write is acknowledged.
 
 use crate::group::unix_ms;
 use crate::replication::{time_left, ReplicationRuntime};
@@ -12,24 +12,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The longest that a lookup waits for the cache: then the origin is asked as without it.
+/// Time that a lookup waits for the cache before the origin is asked without it.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(100);
-/// An insertion is tried once, for this long: an entry only saves work.
+/// Timeout of an insertion. It is not retried, since a missing entry only costs a lookup.
 const INSERT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between attempts of an invalidation while its shard is in a failover.
+/// Pause between attempts to commit an invalidation or a tombstone, for example during a failover of the shard.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a tombstone is retried, for which nobody waits.
+/// How long adding a tombstone is retried, in the background.
 const TOMBSTONE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the cache knows of a key.
+/// The result of a cache lookup.
 pub enum KeyLookup {
-    /// The origin does not have the key: it is not asked.
+    /// The origin does not have the key and need not be asked.
     KnownMissing,
     /// The origin has to be asked.
     AskOrigin(OriginLookup),
 }
 
-/// A lookup at the origin, with the shard's token if the shard could be asked.
+/// Context of a lookup at the origin, which a later insertion needs: the token from the shard, `None` if the shard did
+/// not answer, and the start of the lookup.
 pub struct OriginLookup {
     token: Option<u64>,
     began: Instant,
@@ -38,15 +39,15 @@
 /// Counters for operators.
 #[derive(Default)]
 pub struct Metrics {
-    /// Lookups at the origin that the cache saved.
+    /// Lookups that the cache answered in place of the origin.
     pub hits: Cell<u64>,
-    /// Lookups made without the cache, which did not respond in time.
+    /// Lookups for which the cache did not respond in time.
     pub unavailable: Cell<u64>,
     /// Entries inserted.
     pub inserted: Cell<u64>,
     /// Invalidations committed.
     pub invalidated: Cell<u64>,
-    /// Writes whose receipt was withheld since their invalidation was not committed in time.
+    /// Writes that were not acknowledged because their invalidation was not committed in time.
     pub receipts_withheld: Cell<u64>,
 }
 
@@ -54,18 +55,18 @@
     counter.set(counter.get() + 1);
 }
 
-/// The cache as one proxy uses it.
+/// A proxy's access to the replicated cache.
 pub struct NegativeCache {
     replicas: Rc<ReplicationRuntime<NegativeCacheShard>>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Insertions begun so far, to number them.
+    /// Number of the next insertion; wraps around.
     insertions: Cell<u32>,
-    /// Its counters.
+    /// Counters for operators.
     pub metrics: Metrics,
 }
 
 impl NegativeCache {
-    /// The cache over these replicas.
+    /// Creates a client that queries and updates these replicas. Background updates run on `executor`.
     pub fn new(
         replicas: Rc<ReplicationRuntime<NegativeCacheShard>>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -86,7 +87,7 @@
         self.insertions.replace(self.insertions.get().wrapping_add(1))
     }
 
-    /// What is known of a key before the origin is asked for it.
+    /// Looks a key up before the origin is asked for it. Keys longer than `MAX_KEY_LEN` are never cached.
     pub async fn lookup(&self, key: &[u8]) -> KeyLookup {
         let began = Instant::now();
         if key.len() > MAX_KEY_LEN {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The origin did not have the key. Nobody waits for this.
+    /// Records in the background that the origin does not have the key. Does nothing without a token.
     pub fn insert(self: &Rc<Self>, key: &[u8], lookup: OriginLookup) {
         let OriginLookup { token: Some(token), began } = lookup else { return };
         let (cache, key) = (Rc::clone(self), key.to_vec());
@@ -122,27 +123,28 @@
         self.executor.spawn(insertion).detach();
     }
 
-    /// The origin has carried out a write: whether the invalidation of its key is committed in time. Without it no receipt
-    /// may be given.
+    /// Removes the entry of a key that the origin has written. Returns whether this was committed by `until`; otherwise the
+    /// write must not be acknowledged, since the cache may still report the key as missing.
     pub async fn invalidate(&self, key: &[u8], until: Instant) -> bool {
         let invalidated = self.commit(key, Operation::Invalidate { key: key.to_vec() }, until).await;
         increment(if invalidated { &self.metrics.invalidated } else { &self.metrics.receipts_withheld });
         invalidated
     }
 
-    /// A write may have run, or may yet. Nobody waits for this: its client has no receipt.
+    /// Adds a tombstone in the background for a key whose write has an unknown outcome. The write was not acknowledged, so
+    /// no request waits for this.
     pub fn add_tombstone(self: &Rc<Self>, key: &[u8]) {
         let (cache, key) = (Rc::clone(self), key.to_vec());
         let addition = async move {
             let operation = Operation::tombstone(key.clone(), unix_ms());
             if !cache.commit(&key, operation, Instant::now() + TOMBSTONE_TIMEOUT).await {
-                log::warn!("negative cache: a write may have run and its tombstone could not be committed");
+                log::warn!("negative cache: cannot commit the tombstone of a write with unknown outcome");
             }
         };
         self.executor.spawn(addition).detach();
     }
 
-    /// Retries an operation, which may be applied twice without harm, until it is committed or the time is up.
+    /// Retries an idempotent operation until it is committed or `until` has passed. Returns whether it was committed.
     async fn commit(&self, key: &[u8], operation: Operation, until: Instant) -> bool {
         while !time_left(until).is_zero() {
             let response = self.replicas.execute(self.shard(key), operation.clone(), time_left(until)).await;
