--- a/cli/tests/copies.rs
+++ b/cli/tests/copies.rs
@@ -290,7 +290,7 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     // It was taken to be gone, and comes again as another start of the same disk.
-    fleet.proxies[paused].as_ref().unwrap().logged("it comes again");
+    fleet.proxies[paused].as_ref().unwrap().logged("the lease group declared this node gone, rejoining");
     fleet.wait_until_in_sync();
 }
 
@@ -439,7 +439,7 @@
     places.iter().for_each(|n| bytes[*n] = b'G');
     std::fs::write(&file, bytes).unwrap();
     let again = proxy.beside(&fleet.registry);
-    again.logged("the store is damaged, it is put aside");
+    again.logged("the store is damaged, setting it aside");
     fleet.proxies[hit] = Some(again);
     fleet.wait_until_in_sync();
     // Once its shards serve again what is known is known, and what was written is there.
@@ -463,7 +463,10 @@
     let others = fleet.others(full);
     let took = fleet.set_in_time(others[0], "ghost");
     assert!(took < Duration::from_secs(10), "a write took {took:?}");
-    fleet.proxies[full].as_ref().unwrap().logged("the disk failed, this node promises nothing more");
+    fleet.proxies[full]
+        .as_ref()
+        .unwrap()
+        .logged("write to the store failed, this node takes no part until the store is recovered");
     let gone = fleet.peers[full].address();
     fleet.wait_until("every shard has a primary on another disk", |_, t| {
         t.shards().iter().all(|s| s.primary.is_some_and(|p| t.nodes()[&p].at.peer != gone))
@@ -498,10 +501,13 @@
     // Its own clients are served meanwhile, by the copies of others.
     fleet.set_in_time(full, "meanwhile");
     assert!(matches!(&fleet.get(full, "ghost"), Value::Bulk(Some(_))));
-    fleet.proxies[full].as_ref().unwrap().logged("the disk failed, this node promises nothing more");
+    fleet.proxies[full]
+        .as_ref()
+        .unwrap()
+        .logged("write to the store failed, this node takes no part until the store is recovered");
     std::thread::sleep(Duration::from_secs(2).saturating_sub(began.elapsed()));
     full_disk(pid, false).unwrap();
-    fleet.proxies[full].as_ref().unwrap().logged("the store is well again");
+    fleet.proxies[full].as_ref().unwrap().logged("store recovered, this node rejoins");
     fleet.wait_until_in_sync();
     // It holds replicas as before: with another machine gone, the three that are left need it for each shard.
     let lost = fleet.primary("ghost").unwrap();
@@ -531,7 +537,7 @@
     proxy.signal("STOP");
     fleet.wait_until("another is primary", |f, _| f.primary("ghost").is_some_and(|p| p != full));
     fleet.proxies[full].as_ref().unwrap().signal("CONT");
-    fleet.proxies[full].as_ref().unwrap().logged("it comes again");
+    fleet.proxies[full].as_ref().unwrap().logged("the lease group declared this node gone, rejoining");
     // Primaries move once more, and its clients find them.
     let moved = fleet.primary("ghost").unwrap();
     fleet.lose_machine(moved);
--- a/proxy/src/replication/group_client.rs
+++ b/proxy/src/replication/group_client.rs
@@ -1,5 +1,5 @@
-//! What the node asks of the group: to join, to confirm the shard map again and again, and the changes that a primary
-//! wants made to it.
+//! The node's client of the lease group: joins the group, has the shard map confirmed at an interval, and proposes the
+//! changes to it that a primary needs.
 
 use super::ReplicationRuntime;
 use crate::group::ask;
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the group is asked before it has said for how long a confirmation holds.
+/// Interval of requests until the first confirmation, which says how long it is valid.
 const INITIAL_INTERVAL_MS: Millis = 500;
 const MIN_INTERVAL_MS: Millis = 50;
-/// The longest wait for an answer of the group.
+/// Timeout of a request to the group.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A change that is asked of the group: not asked again before that is answered.
+/// Identifies a requested change, which is not sent again before the group has answered it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ChangeKey {
     shard: u32,
@@ -38,22 +38,24 @@
     }
 }
 
-/// What this node is to the group.
+/// This node's registration with the group.
 struct Membership {
     start: u64,
     joined: bool,
     interval_ms: Millis,
 }
 
-/// Whether the node goes on asking the group.
+/// When to send the next request to the group.
 enum Next {
     AtOnce,
     AfterInterval,
-    /// It takes no part any more.
+    /// The group refuses this node.
     Never,
 }
 
 impl<C: ReplicatedState> ReplicationRuntime<C> {
+    /// Queues a change for the group, unless the same change is unanswered. Dropped if the queue is full; the node asks for
+    /// it again.
     pub(super) fn queue_change(&self, change: ShardMapChange) {
         let key = ChangeKey::of(&change);
         let is_new = key.is_none_or(|key| self.unanswered_changes.borrow_mut().insert(key));
@@ -62,18 +64,19 @@
         }
     }
 
+    /// Sends queued changes to the group, one at a time.
     pub(super) async fn send_changes(self: Rc<Self>, changes: Receiver<ShardMapChange>) {
         while let Ok(change) = changes.recv().await {
             let answer =
                 ask::leader(&self.group_endpoints, &Request::Copies(change.clone()), ANSWER_TIMEOUT).await;
-            log::debug!("copies: {change:?}: {answer:?}");
+            log::debug!("copies: shard map change {change:?}: {answer:?}");
             if let Some(key) = ChangeKey::of(&change) {
                 self.unanswered_changes.borrow_mut().remove(&key);
             }
         }
     }
 
-    /// Joins, and has the group confirm the shard map again and again.
+    /// Joins the group and has it confirm the shard map at an interval, until the group refuses this node.
     pub(super) async fn confirm_shard_map(self: Rc<Self>, start: u64) {
         let mut membership = Membership { start, joined: false, interval_ms: INITIAL_INTERVAL_MS };
         loop {
@@ -101,8 +104,8 @@
     async fn ask_group(&self, membership: &Membership) -> Result<Answer, String> {
         let participating = self.participating.get();
         let request = if membership.joined || !participating {
-            // While a node asks as itself, the group takes it to be up, and its shards to be served. One that is out
-            // asks only where the others are, for its own clients.
+            // A request that names the node counts as its heartbeat. A node that waits for its restart sends none: it only
+            // reads the map, to route the requests of its own process.
             let node = participating.then_some((self.address.id, membership.start));
             Request::Table { node, have: self.node.borrow().shard_map().version() }
         } else {
@@ -119,8 +122,8 @@
             return;
         }
         match answer {
-            Ok(_) => log::info!("copies: the group is reached"),
-            Err(why) => log::warn!("copies: the group is not reached: {why}"),
+            Ok(_) => log::info!("copies: connected to the lease group"),
+            Err(why) => log::warn!("copies: cannot reach the lease group: {why}"),
         }
     }
 
@@ -135,7 +138,7 @@
                 Next::AtOnce
             }
             Answer::Copies(ShardMapOutcome::Refused(why)) | Answer::Refused(why) => {
-                log::error!(event = "refused"; "copies: this node takes no part: {why}");
+                log::error!(event = "refused"; "copies: the lease group refused this node: {why}");
                 Next::Never
             }
             Answer::Table(confirmation) => self.confirmed(sent, confirmation, membership),
@@ -155,7 +158,7 @@
         if up || !self.participating.get() {
             return Next::AfterInterval;
         }
-        log::warn!(event = "gone"; "copies: the group took this node to be gone; it comes again");
+        log::warn!(event = "gone"; "copies: the lease group declared this node gone, rejoining");
         self.leave(0);
         Next::AtOnce
     }
--- a/proxy/src/replication/links.rs
+++ b/proxy/src/replication/links.rs
@@ -1,5 +1,5 @@
-//! Connections between nodes: one that this node dials for each node that it has something to say to, and those that
-//! others have dialled, which are read alone.
+//! Connections between replica nodes. A node writes to the connections that it opens, one for each node that it sends
+//! messages to, and only reads from those that it accepts.
 
 use super::ReplicationRuntime;
 use crate::group::with_timeout;
@@ -16,30 +16,31 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a connection or an accept that failed.
+/// Pause after a failed connection or accept.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A node that takes no bytes for so long is connected to anew.
+/// Timeout of one write; after it the connection is opened again.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Messages that wait for one node; of more, the rest is lost and sent again.
+/// Messages queued for one node. Further ones are dropped; the protocol sends them again.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Bytes of messages that are written at once.
+/// Encoded size at which a batch takes no further message, and the size of one write.
 const MAX_WRITE_BATCH_BYTES: usize = 64 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Connections of other nodes at the most.
+/// Accepted connections; further ones are closed.
 const MAX_ACCEPTED_LINKS: usize = 1024;
 
-/// The way to another node.
+/// The outbound queue of another node.
 pub(super) struct Link<C: ReplicatedState> {
     address: SocketAddr,
     messages: Sender<Message<C>>,
 }
 
 impl<C: ReplicatedState> ReplicationRuntime<C> {
+    /// Queues a message for a node. Dropped if the shard map does not list the node or its queue is full.
     pub(super) fn send(self: &Rc<Self>, to: NodeId, message: Message<C>) {
         let address = self.node.borrow().shard_map().nodes().get(&to).map(|n| n.at.peer);
         let Some(address) = address else { return };
         let mut links = self.links.borrow_mut();
-        // A node that has come again at another address is dialled there.
+        // The node has restarted at another address.
         if links.get(&to).is_some_and(|link| link.address != address) {
             links.remove(&to);
         }
@@ -48,16 +49,16 @@
             self.executor.spawn(Rc::clone(self).keep_link(address, messages)).detach();
             Link { address, messages: sender }
         });
-        // Without room it is lost, and sent again if it still matters.
+        // Dropped if the queue is full; the protocol sends it again if needed.
         let _ = link.messages.try_send(message);
     }
 
-    /// Keeps a connection to a node for as long as its queue is in use.
+    /// Writes queued messages to a node and reconnects after errors, until the queue is closed.
     async fn keep_link(self: Rc<Self>, address: SocketAddr, messages: Receiver<Message<C>>) {
         while !messages.is_closed() {
             if let Err(error) = self.write_messages(address, &messages).await {
-                log::debug!(peer:% = address; "copies: {address}: {error}");
-                // What waited for the node is out of date by the time that it can be reached.
+                log::debug!(peer:% = address; "copies: cannot write to node at {address}: {error}");
+                // Queued messages would be outdated by the time of the next connection.
                 while messages.try_recv().is_ok() {}
                 Timer::after(RETRY_DELAY).await;
             }
@@ -72,7 +73,7 @@
             let mut next = Some(first);
             while let Some(message) = next {
                 if !encode(self.address.id, &message, &mut bytes) {
-                    log::error!("copies: a message is larger than any frame, it is not sent");
+                    log::error!("copies: message dropped, it exceeds the maximum frame size");
                 }
                 next = (bytes.len() < MAX_WRITE_BATCH_BYTES).then(|| messages.try_recv().ok()).flatten();
             }
@@ -91,13 +92,15 @@
                     let runtime = Rc::clone(&self);
                     let read = async move {
                         if let Err(error) = runtime.read_messages(&io).await {
-                            log::debug!("copies: a link has ended: {error}");
+                            log::debug!("copies: connection from another node ended: {error}");
                         }
                         runtime.accepted_links.set(runtime.accepted_links.get() - 1);
                     };
                     self.executor.spawn(read).detach();
                 }
-                Ok(_) => log::warn!("copies: {MAX_ACCEPTED_LINKS} links are open, another is not taken"),
+                Ok(_) => {
+                    log::warn!("copies: connection closed, limit of {MAX_ACCEPTED_LINKS} connections reached")
+                }
                 Err(_) => drop(Timer::after(RETRY_DELAY).await),
             }
         }
@@ -108,7 +111,7 @@
         loop {
             let invalid = |error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}"));
             while let Some((from, message)) = decoder.next_message::<C>().map_err(invalid)? {
-                // What a primary sends is sent again until it is acknowledged.
+                // Dropping is safe: a primary repeats its messages until they are acknowledged.
                 if !self.is_store_behind() || matches!(message, Message::Response { .. }) {
                     self.node.borrow_mut().receive(self.clock.now(), from, message);
                 }
--- a/proxy/src/replication/mod.rs
+++ b/proxy/src/replication/mod.rs
@@ -1,5 +1,5 @@
-//! A process's replica node on sockets: its store, its links to other nodes, its client of the group and the requests of
-//! this process. What is decided is in `notchdoor-replication`; serving waits on it only for what needs a promise.
+//! The runtime of a process's replica node: its store, its connections to other nodes, its client of the lease group, and
+//! the requests of this process. The protocol itself is in `notchdoor-replication`.
 
 mod group_client;
 mod links;
@@ -29,23 +29,23 @@
 use std::time::{Duration, Instant};
 use store::{OpenedStore, Store};
 
-/// How often the node's time passes.
+/// Interval of the node's clock ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Writes that wait for the store. Beyond that the node takes no more operations, its own or a primary's, until there is
-/// room; what it owes its clients goes on.
+/// Writes queued for the store. While the queue is full the node accepts no operations, neither from its own process nor
+/// from a primary, but still delivers responses.
 const MAX_QUEUED_WRITES: usize = 16 * 1024;
-/// When a client that was rejected for want of room may ask again.
+/// Retry delay in the rejection of an operation while the write queue is full.
 const RETRY_AFTER_MS: Millis = 100;
-/// Changes that wait to be asked of the group; what is left out is asked again.
+/// Shard map changes queued for the group. Further ones are dropped, and the node asks for them again.
 const MAX_QUEUED_CHANGES: usize = 256;
-/// Bytes of a node's name that the group takes.
+/// Longest node name that the group accepts.
 const MAX_NODE_NAME_BYTES: usize = 64;
 
-/// Writes that are made durable together.
+/// Writes that are committed together.
 #[derive(Default)]
 struct WriteBatch<C: ReplicatedState> {
     writes: Vec<StoreWrite<C>>,
-    /// The node's number for the last of them.
+    /// The node's number of the last write.
     last_write: u64,
 }
 
@@ -58,33 +58,34 @@
     drift: Drift,
     clock: MonotonicClock,
     executor: Rc<LocalExecutor<'static>>,
-    /// None while a store that has failed is opened again.
+    /// `None` while a failed store is being reopened.
     store: RefCell<Option<Arc<Store<C>>>>,
     links: RefCell<BTreeMap<NodeId, Link<C>>>,
-    /// Connections that other nodes have open to this one.
+    /// Number of open connections from other nodes.
     accepted_links: Cell<usize>,
-    /// Writes that the store has not begun with.
+    /// Writes for the next commit.
     queued_writes: RefCell<WriteBatch<C>>,
-    /// Something has been queued.
+    /// Notifies the committing task of queued writes.
     wake_store: Sender<()>,
     change_queue: Sender<ShardMapChange>,
     /// Changes that the group has not answered yet.
     unanswered_changes: RefCell<BTreeSet<ChangeKey>>,
-    /// Who waits for the response to each request.
+    /// Where the response to each request is sent.
     waiting: RefCell<HashMap<u64, Sender<Response<C>>>>,
     next_request: Cell<u64>,
+    /// Result of the last request to the group; `None` before the first.
     group_reached: Cell<Option<bool>>,
-    /// A batch is on its way to the disk.
+    /// Whether a batch is being committed.
     writing: Cell<bool>,
-    /// A write failed: nothing more is written until the store was opened again.
+    /// Whether a write has failed. Nothing is written until the store is reopened.
     store_failed: Cell<bool>,
-    /// Whether the node takes part in the group, or waits for its next start.
+    /// Whether the node takes part in replication; false while it waits for its restart.
     participating: Cell<bool>,
     restart: RefCell<Restart<C>>,
 }
 
 impl<C: ReplicatedState> ReplicationRuntime<C> {
-    /// Opens the store and begins. The error names the field at fault, in one line.
+    /// Opens the store and starts the node's tasks on `executor`. The error is a single line that names the setting.
     pub fn start(
         config: CopiesConfig,
         group_endpoints: Vec<Endpoint>,
@@ -96,7 +97,7 @@
         let listener = Async::<TcpListener>::bind(config.listen)
             .map_err(|e| format!("copies.listen: cannot listen on {}: {e}", config.listen))?;
         let (configured, stored) = (config.shards, shards.len());
-        log::info!(node = id, start, shards = stored; "copies: node {id:016x}, start {start}, {stored} of {configured} shards on its disk");
+        log::info!(node = id, start, shards = stored; "copies: node {id:016x} started, start number {start}, {stored} of {configured} shards in its store");
         let clock = MonotonicClock::start();
         let (wake_store, woken) = async_channel::bounded(1);
         let (change_queue, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
@@ -131,12 +132,12 @@
         Ok(runtime)
     }
 
-    /// How many shards there are.
+    /// The number of shards.
     pub fn shards(&self) -> u32 {
         self.config.shards
     }
 
-    /// Has a shard's primary carry an operation out, within a time.
+    /// Sends an operation to the primary of a shard and waits at most `limit` for the response.
     pub async fn execute(
         self: &Rc<Self>,
         shard: u32,
@@ -153,7 +154,7 @@
         self.response(request, response).await
     }
 
-    /// Asks a shard's primary something, within a time.
+    /// Sends a query to the primary of a shard and waits at most `limit` for the response.
     pub async fn query(self: &Rc<Self>, shard: u32, query: C::Query, limit: Duration) -> Response<C> {
         let (request, response) = self.register_request();
         let now = self.clock.now();
@@ -176,12 +177,12 @@
         response
     }
 
-    /// Whether so much waits for the store that nothing more may be added.
+    /// Whether the queue of writes is full.
     fn is_store_behind(&self) -> bool {
         self.queued_writes.borrow().writes.len() >= MAX_QUEUED_WRITES
     }
 
-    /// Carries out what the node wants done.
+    /// Takes the node's output and sends its messages, queues its writes and map changes, and delivers its responses.
     fn process_output(self: &Rc<Self>) {
         let Output { messages, writes, last_write, responses, map_changes, events } =
             self.node.borrow_mut().take_output();
@@ -192,7 +193,7 @@
             let mut queued = self.queued_writes.borrow_mut();
             queued.writes.extend(writes);
             queued.last_write = last_write;
-            // Full means that the store is to be woken already.
+            // If the channel is full, the task has yet to wake and will see these writes too.
             let _ = self.wake_store.try_send(());
         }
         for (request, response) in responses {
@@ -208,12 +209,12 @@
         }
     }
 
-    /// Commits what is queued on a thread of its own; what comes meanwhile goes together.
+    /// Commits queued writes on a blocking thread. Writes that are queued meanwhile form the next batch.
     async fn commit_writes(self: Rc<Self>, woken: Receiver<()>) {
         while woken.recv().await.is_ok() {
             let WriteBatch { writes, last_write } = self.queued_writes.take();
             let store = self.store.borrow().clone();
-            // After a failure nothing is written: the store is opened again first, and the node begins anew with it.
+            // After a failure queued writes are dropped: the node restarts from the reopened store.
             let Some(store) = store.filter(|_| !self.store_failed.get() && !writes.is_empty()) else {
                 continue;
             };
@@ -223,7 +224,7 @@
             match committed {
                 Ok(()) => self.node.borrow_mut().writes_durable(last_write),
                 Err(error) => {
-                    log::error!(event = "disk"; "copies: the disk failed, this node promises nothing more: {error}");
+                    log::error!(event = "disk"; "copies: write to the store failed, this node takes no part until the store is recovered: {error}");
                     self.fail_store();
                 }
             }
@@ -231,7 +232,7 @@
         }
     }
 
-    /// The store has failed: the node is out until it was opened again.
+    /// Takes the node out of replication until its store is reopened.
     fn fail_store(&self) {
         self.store_failed.set(true);
         self.leave(RECOVERY_INTERVAL_MS);
@@ -246,13 +247,13 @@
     }
 }
 
-/// Where other nodes find this one, under a name of which every byte is plain.
+/// The node's entry in the shard map. Its name is reduced to the characters that the group accepts.
 fn node_address(id: NodeId, name: &str, config: &CopiesConfig) -> NodeInfo {
-    let plain = |c: &char| c.is_ascii_alphanumeric() || "._-".contains(*c);
-    let plain: String = name.chars().filter(plain).take(MAX_NODE_NAME_BYTES).collect();
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || "._-".contains(*c);
+    let sanitized: String = name.chars().filter(is_allowed).take(MAX_NODE_NAME_BYTES).collect();
     NodeInfo {
         id,
-        name: if plain.is_empty() { "-".to_owned() } else { plain },
+        name: if sanitized.is_empty() { "-".to_owned() } else { sanitized },
         machine: config.machine.clone(),
         zone: config.zone.clone(),
         peer: config.peer.unwrap_or(config.listen),
@@ -263,15 +264,15 @@
     match event {
         NodeEvent::RoleChanged { shard, epoch, role } => {
             let role = role.name();
-            log::info!(event = "epoch", shard, epoch, role; "copies: {role} of shard {shard} in epoch {epoch}");
+            log::info!(event = "epoch", shard, epoch, role; "copies: this node is {role} of shard {shard} in epoch {epoch}");
         }
         NodeEvent::Diverged { shard, node } => {
-            log::warn!(event = "differs", shard, node; "copies: node {node:016x} has another state of shard {shard}, it is brought anew");
+            log::warn!(event = "differs", shard, node; "copies: the state of shard {shard} on node {node:016x} differs, sending a snapshot");
         }
     }
 }
 
-/// The time left until an instant.
+/// The time left until `until`; zero once it has passed.
 pub(crate) fn time_left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
--- a/proxy/src/replication/restart.rs
+++ b/proxy/src/replication/restart.rs
@@ -1,5 +1,7 @@
-//! The node's next start, where the group took this one to be gone or the store has failed. It is made in the background:
-//! the group's client goes on to ask where the other nodes are, however long the disk takes.
+//! Restarts the node within the process after the lease group has declared it gone or its store has failed.
+//!
+//! The restart runs in the background, so that the client of the group keeps the shard map current however long the disk
+//! takes.
 
 use super::store::{self, OpenedStore, Store, StoreError};
 use super::{ReplicationRuntime, TICK_INTERVAL};
@@ -10,25 +12,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How often a store that has failed is tried again.
+/// Interval of attempts to reopen a failed store.
 pub(super) const RECOVERY_INTERVAL_MS: Millis = 1_000;
 
-/// How far the next start of a node that is out has come.
+/// Progress of a restart.
 pub(super) enum Restart<C: ReplicatedState> {
     DueAt(Millis),
     Running,
     Done(NewStart<C>),
 }
 
-/// Another start of the node, and what the store holds.
+/// The number of the new start and the shards in the store.
 pub(super) struct NewStart<C: ReplicatedState> {
     number: u64,
     shards: Vec<ShardState<C>>,
 }
 
 impl<C: ReplicatedState> ReplicationRuntime<C> {
-    /// Takes the node out: it promises nothing more until its next start, which is begun after this time. What it has
-    /// promised since the group took it to be gone is not known to anybody.
+    /// Takes the node out of replication and schedules its restart. Until then it acknowledges nothing: the other nodes may
+    /// not know what it acknowledged after the group declared it gone.
     pub(super) fn leave(&self, restart_after_ms: Millis) {
         self.node.borrow_mut().store_failed();
         self.participating.set(false);
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Begins the next start of a node that is out once it is due, and gives its number once it is made.
+    /// Begins the restart once it is due, and puts the new node in place once it is done. Returns the new start's number in
+    /// that case.
     pub(super) fn drive_restart(self: &Rc<Self>) -> Option<u64> {
         if self.participating.get() {
             return None;
@@ -62,14 +65,15 @@
 
     async fn restart(self: Rc<Self>) {
         let failed_before = self.store_failed.get();
-        let restarted = if failed_before { self.recover_store().await } else { self.start_again().await };
+        let restarted =
+            if failed_before { self.recover_store().await } else { self.begin_next_start().await };
         let next = match restarted {
             Ok(new_start) => Restart::Done(new_start),
             Err(error) => {
                 if failed_before {
-                    log::debug!("copies: the store is tried again later: {error}");
+                    log::debug!("copies: cannot reopen the store, trying again later: {error}");
                 } else {
-                    log::error!(event = "disk"; "copies: the store failed, this node takes no part: {error}");
+                    log::error!(event = "disk"; "copies: the store failed during a restart, this node takes no part until it is recovered: {error}");
                 }
                 self.store_failed.set(true);
                 Restart::DueAt(self.clock.now() + RECOVERY_INTERVAL_MS)
@@ -78,42 +82,42 @@
         self.restart.replace(next);
     }
 
-    /// Counts another start in the store, which is in order, and reads what it holds.
-    async fn start_again(&self) -> Result<NewStart<C>, StoreError> {
+    /// Records another start in the store and loads its shards. The store must not have failed.
+    async fn begin_next_start(&self) -> Result<NewStart<C>, StoreError> {
         self.store_idle().await;
         let store = self.store.borrow().clone().filter(|_| !self.store_failed.get());
         let store = store.ok_or(StoreError::Failed)?;
         unblock(move || Ok(NewStart { number: store.begin_start()?, shards: store.load()? })).await
     }
 
-    /// Opens a store again that has failed.
+    /// Reopens a failed store.
     async fn recover_store(&self) -> Result<NewStart<C>, StoreError> {
         self.store_idle().await;
         let (failed, folder, id) = (self.store.take(), self.config.data.clone(), self.address.id);
         let reopen = move || {
-            // Its file is locked for as long as it is open.
+            // The file is locked until the old store is dropped.
             drop::<Option<Arc<Store<C>>>>(failed);
             store::recover::<C>(&folder, id)
         };
         let OpenedStore { store, start, shards, .. } = unblock(reopen).await?;
         self.store.replace(Some(Arc::new(store)));
         self.store_failed.set(false);
-        log::info!(event = "recovered", start; "copies: the store is well again, the node joins as start {start}");
+        log::info!(event = "recovered", start; "copies: store recovered, this node rejoins with start number {start}");
         Ok(NewStart { number: start, shards })
     }
 
-    /// Waits until the store has nothing more to do.
+    /// Waits until no write is queued or being committed.
     async fn store_idle(&self) {
         while self.writing.get() || !self.queued_writes.borrow().writes.is_empty() {
             Timer::after(TICK_INTERVAL).await;
         }
     }
 
-    /// Goes on with another start of the node.
+    /// Replaces the node with its new start.
     fn replace_node(&self, start: u64, shards: Vec<ShardState<C>>) {
         let (id, now) = (self.address.id, self.clock.now());
         self.node.replace(ReplicaNode::new(id, start, self.drift, shards, now, Variant::Correct));
-        // The operations of waiting callers may or may not have been applied.
+        // Operations that callers wait for may or may not have been applied.
         for (_, response_sender) in self.waiting.borrow_mut().drain() {
             let _ = response_sender.try_send(Response::Unknown);
         }
--- a/proxy/src/replication/store/fault_tests.rs
+++ b/proxy/src/replication/store/fault_tests.rs
@@ -1,32 +1,32 @@
-//! The store on a disk that fails or stops at each of its calls in turn: what was acknowledged is there afterwards, and
-//! what failed was said to fail.
+//! Fault injection for the store: each disk call in turn fails or stops the machine. Acknowledged writes must survive, and
+//! failed ones must be reported.
 
 use super::*;
 use notchdoor_negative_cache::{NegativeCacheShard, Operation};
 use redb::{Builder, StorageBackend};
 use std::sync::{Arc, Mutex};
 
-/// What the disk does from its n-th write, sync or change of length on.
+/// The fault that a disk shows from a given write, sync or change of length on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Calls fail with this error until as many of them have failed, and succeed from then on.
+    /// `calls` calls fail with this error; later ones succeed.
     FailCalls {
         errno: i32,
         calls: usize,
     },
-    /// The machine stops: a write before it may be there in part, or not at all where it was not synchronized.
+    /// The machine stops, and unsynced writes may be lost or torn.
     StopMachine {
         unsynced: UnsyncedWrites,
     },
 }
 
-/// What a disk holds of the writes since its last sync, after the machine has stopped.
+/// What remains of the writes since the last sync after the machine has stopped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum UnsyncedWrites {
     Lost,
     Kept,
-    /// Every second one, in their order, and of the last one its first half.
+    /// Every second write is kept, and the first half of the last one.
     EverySecondKept,
 }
 
@@ -53,17 +53,17 @@
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// As the process sees it.
+    /// The contents that the process reads.
     current: Vec<u8>,
     durable: Vec<u8>,
     unsynced: Vec<FileChange>,
     calls: usize,
     failed_calls: usize,
-    /// The file was whole and has its name; one without is removed by the next start.
+    /// Whether the file was completed and renamed. The next start removes an unfinished one.
     named: bool,
 }
 
-/// A disk in memory, shared by the processes that open its file one after another.
+/// An in-memory disk with one file, which simulated processes open one after another.
 #[derive(Clone, Debug)]
 struct Disk {
     contents: Arc<Mutex<Contents>>,
@@ -80,7 +80,7 @@
         self.contents.lock().unwrap().calls
     }
 
-    /// The disk as the next process finds it after this one has stopped.
+    /// The disk after the machine has stopped and restarted, without further faults.
     fn after_stop(&self, kept: UnsyncedWrites) -> Disk {
         let contents = self.contents.lock().unwrap();
         if !contents.named {
@@ -103,7 +103,7 @@
         Disk { contents: Arc::new(Mutex::new(contents)), fault: Fault::None, first_call: 0 }
     }
 
-    /// The disk as it is well again, after its process was ended: nothing is lost of what the system had taken.
+    /// The disk after the process has restarted, without further faults. The system keeps unsynced writes.
     fn after_process_restart(&self) -> Disk {
         self.after_stop(UnsyncedWrites::Kept)
     }
@@ -118,7 +118,7 @@
                 contents.failed_calls += 1;
                 Err(io::Error::from_raw_os_error(errno))
             }
-            Fault::StopMachine { .. } => Err(io::Error::other("the machine has stopped")),
+            Fault::StopMachine { .. } => Err(io::Error::other("the simulated machine has stopped")),
             _ => Ok(()),
         }
     }
@@ -158,7 +158,7 @@
     fn change(&self, change: FileChange) -> io::Result<()> {
         let mut contents = self.contents.lock().unwrap();
         if let Err(error) = self.call(&mut contents) {
-            // A write that the machine stopped in may have been carried out in part.
+            // The write during which the machine stops may be torn.
             if matches!(self.fault, Fault::StopMachine { .. }) && contents.failed_calls == 0 {
                 contents.failed_calls = 1;
                 contents.unsynced.push(change);
@@ -188,7 +188,7 @@
     }
 }
 
-/// One shard up to an operation.
+/// The state of the shard after the operations up to `seq`.
 fn state_at(seq: u64) -> NegativeCacheShard {
     let mut content = NegativeCacheShard::default();
     for seq in 1..=seq {
@@ -198,7 +198,7 @@
 }
 
 const SHARD: u32 = 3;
-/// Sequence numbers that batches end with: past one compaction.
+/// The last sequence number of each batch. They go beyond the first compaction.
 const BATCHES: [u64; 6] = [1, 2, 5, 500, 513, 514];
 
 /// What the store acknowledged to one process.
@@ -207,18 +207,18 @@
     node: Option<NodeId>,
     start: u64,
     seq: u64,
-    /// The last operation that was asked to be written.
+    /// The last operation of the last batch that was passed to `commit`.
     attempted: u64,
     failures: usize,
 }
 
-/// Opens a store and writes batch after batch until one fails, as the node does.
+/// Opens a store and commits the batches until one fails.
 fn run_node(disk: &Disk) -> Acknowledged {
     let mut acknowledged = Acknowledged::default();
     let opened = match open_on(disk) {
         Ok(opened) => opened,
         Err(error) => {
-            assert!(!error.is_damage(), "a failed call is taken for damage: {error}");
+            assert!(!error.is_damage(), "a failed call was reported as damage: {error}");
             acknowledged.failures += 1;
             return acknowledged;
         }
@@ -238,19 +238,24 @@
     acknowledged
 }
 
-/// What was acknowledged is there, and nothing that was never written.
+/// Asserts that a new process finds all acknowledged operations, and none that were never passed to `commit`.
 fn assert_acknowledged_data_restored(disk: &Disk, acknowledged: &Acknowledged, case: &str) {
     let opened = open_on(disk).unwrap_or_else(|error| panic!("{case}: {acknowledged:?}: {error}"));
-    assert!(acknowledged.node.is_none_or(|node| node == opened.node), "{case}: it comes as another node");
-    assert!(opened.start > acknowledged.start, "{case}: start {} after {}", opened.start, acknowledged.start);
+    assert!(acknowledged.node.is_none_or(|node| node == opened.node), "{case}: the node number changed");
+    assert!(
+        opened.start > acknowledged.start,
+        "{case}: start number {} after {}",
+        opened.start,
+        acknowledged.start
+    );
     let restored = opened.shards.iter().find(|restored| restored.shard == SHARD);
     let seq = restored.map_or(0, |restored| restored.seq);
     assert!(
         (acknowledged.seq..=acknowledged.attempted).contains(&seq),
-        "{case}: {seq} is restored, {acknowledged:?}"
+        "{case}: restored up to {seq}, {acknowledged:?}"
     );
     if let Some(restored) = restored {
-        assert_eq!(restored.content, state_at(seq), "{case}: the state of {seq}");
+        assert_eq!(restored.content, state_at(seq), "{case}: state after operation {seq}");
     }
 }
 
@@ -262,7 +267,7 @@
 }
 
 #[test]
-fn a_call_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
+fn acknowledged_writes_survive_failing_disk_calls() {
     const ENOSPC: i32 = 28;
     const EIO: i32 = 5;
     let calls = calls_in_run_without_fault();
@@ -274,7 +279,7 @@
                 let disk = Disk::new(fault, first_call);
                 let acknowledged = run_node(&disk);
                 let case = format!("{fault:?} from call {first_call} on");
-                // A call that fails once the last batch is durable is one of the closing of the file.
+                // Only calls that close the file come after the last commit.
                 assert!(acknowledged.failures == 1 || acknowledged.seq == 514, "{case}: {acknowledged:?}");
                 assert_acknowledged_data_restored(&disk.after_process_restart(), &acknowledged, &case);
             }
@@ -283,7 +288,7 @@
 }
 
 #[test]
-fn a_machine_that_stops_at_any_call_loses_nothing_that_was_acknowledged() {
+fn acknowledged_writes_survive_a_machine_stop_at_any_disk_call() {
     let calls = calls_in_run_without_fault();
     for unsynced in [UnsyncedWrites::Lost, UnsyncedWrites::Kept, UnsyncedWrites::EverySecondKept] {
         for first_call in 1..=calls {
@@ -300,12 +305,12 @@
 }
 
 #[test]
-fn a_store_that_answers_before_its_sync_is_found() {
+fn acknowledging_before_sync_is_detected_as_data_loss() {
     let calls = calls_in_run_without_fault();
     let lost = (1..=calls).filter(|first_call| {
         let disk = Disk::new(Fault::StopMachine { unsynced: UnsyncedWrites::Lost }, *first_call);
         let acknowledged = run_node(&disk);
-        // What was written last counts as acknowledged, though its commit has not returned.
+        // Simulates a store that acknowledges a batch before its commit returns.
         let early = Acknowledged { seq: acknowledged.attempted, ..acknowledged };
         let result = std::panic::catch_unwind(|| {
             assert_acknowledged_data_restored(&disk.after_stop(UnsyncedWrites::Lost), &early, "early")
--- a/proxy/src/replication/store/mod.rs
+++ b/proxy/src/replication/store/mod.rs
@@ -1,5 +1,5 @@
-//! A replica's store on disk (`redb`): the node's number, the count of its starts, and of each shard a snapshot and the
-//! operations after it.
+//! The on-disk store of a replica node, a `redb` database. It contains the node's number, its start counter, and for each
+//! shard a snapshot and the operations after it.
 
 use crate::group::random_id;
 use notchdoor_coordination::shard_map::NodeId;
@@ -14,61 +14,61 @@
 use std::path::{Path, PathBuf};
 
 const FILE: &str = "copies.redb";
-/// A file that is being made. It gets its name once it is whole: a start that fails half-way leaves no store that later
-/// ones would take to be damaged.
+/// A new store is created under this name and renamed once it is complete, so that an interrupted start does not leave a
+/// file that looks damaged.
 const UNFINISHED_FILE: &str = "copies.redb.new";
-/// Where a damaged file is put aside.
+/// A damaged store is renamed to this.
 const DAMAGED_FILE: &str = "copies.damaged";
 
-/// The store's own numbers by name: see the three keys below.
+/// Numbers about the store, by the three keys below.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const FORMAT_KEY: &str = "format";
 const NODE_KEY: &str = "number";
 const START_KEY: &str = "start";
-/// By shard, the sequence number of a snapshot's last operation, and the state.
+/// For each shard, the sequence number of the last operation in the snapshot, and the state.
 const SNAPSHOTS: TableDefinition<u32, &[u8]> = TableDefinition::new("whole");
-/// By shard and sequence number, an operation after the snapshot.
+/// The operations after the snapshot, by shard and sequence number.
 const OPERATIONS: TableDefinition<(u32, u64), &[u8]> = TableDefinition::new("ops");
 
-/// The format of the store; another one is refused by its number.
+/// Version of the format; stores of another version are refused.
 const FORMAT: u64 = 1;
-/// Operations of a shard that are stored before a snapshot takes their place.
+/// A shard is compacted into a snapshot whenever its sequence number is a multiple of this.
 const MAX_OPERATIONS_AFTER_SNAPSHOT: u64 = 512;
 
 /// Why a store cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreError {
-    /// Its bytes are not those that were written.
+    /// The database found its contents to be damaged.
     #[error("{0}")]
     Damaged(String),
-    /// A row is not what was written there.
-    #[error("shard {shard}: {source}")]
+    /// A row cannot be decoded.
+    #[error("shard {shard}: cannot decode a row: {source}")]
     Row { shard: u32, source: postcard::Error },
-    /// An operation is missing before this one.
-    #[error("shard {shard}: operation {seq} comes after {last}")]
+    /// Operations are missing between `last` and `seq`.
+    #[error("shard {shard}: operation {seq} follows operation {last}, those in between are missing")]
     Gap { shard: u32, seq: u64, last: u64 },
-    /// It was written by another version of the program.
-    #[error("format {0}, where {FORMAT} is read")]
+    /// The store has another version of the format.
+    #[error("unsupported store format {0}, expected {FORMAT}")]
     Format(u64),
-    /// A state or an operation cannot be written down.
-    #[error("shard {shard}: cannot be encoded: {source}")]
+    /// A state or an operation cannot be encoded.
+    #[error("shard {shard}: cannot encode a row: {source}")]
     Encode { shard: u32, source: postcard::Error },
-    /// The database failed here and now, or is another process's.
+    /// An operation of the database failed, or another process has it open.
     #[error("{0}")]
     Database(redb::Error),
-    /// It has failed before, and was not opened again since.
-    #[error("it has failed and was not opened again yet")]
+    /// The store failed earlier and has not been reopened.
+    #[error("the store failed earlier and has not been reopened yet")]
     Failed,
-    /// It is another node's.
-    #[error("it is of node {0:016x} now")]
+    /// The store belongs to the node with this number.
+    #[error("the store now belongs to node {0:016x}")]
     OtherNode(NodeId),
-    /// Its folder cannot be made, written or synchronized.
+    /// The store's directory or one of its files cannot be created, renamed or synced.
     #[error("{0}")]
     Folder(#[from] io::Error),
 }
 
 impl StoreError {
-    /// Whether the contents are wrong, other than an operation on them having failed.
+    /// Whether the stored contents are damaged, as opposed to an operation that failed.
     fn is_damage(&self) -> bool {
         matches!(self, StoreError::Damaged(_) | StoreError::Row { .. } | StoreError::Gap { .. })
     }
@@ -104,16 +104,16 @@
     redb::CommitError
 );
 
-/// An open store. One process has it open at a time.
+/// An open store. Only one process can open it at a time.
 pub(super) struct Store<C> {
     database: Database,
     state: PhantomData<fn() -> C>,
-    /// Commits wait for as long as this is set: a disk that stands still.
+    /// Blocks commits while set, to simulate a stalled disk.
     #[cfg(test)]
     pub(super) stalled: std::sync::Arc<std::sync::atomic::AtomicBool>,
 }
 
-/// A store as it was opened: which start of which node this is, and what it holds.
+/// The result of opening a store: the node's number, the number of this start, and the stored shards.
 pub(super) struct OpenedStore<C: ReplicatedState> {
     pub(super) store: Store<C>,
     pub(super) node: NodeId,
@@ -121,12 +121,13 @@
     pub(super) shards: Vec<ShardState<C>>,
 }
 
-/// Opens or makes the store in a folder; the error is one line that names the setting.
+/// Opens the store in a directory, or creates it. The error is a single line that names the setting.
 ///
-/// A damaged store is put aside and another one made, with another node number: what it promised is on the other
-/// replicas' disks, while bytes that have changed must neither be answered from nor be copied.
+/// A damaged store is set aside and replaced by an empty one with a new node number. What the old node acknowledged is
+/// stored by the other replicas; damaged data must neither be served nor be copied to them.
 pub(super) fn open<C: ReplicatedState>(folder: &Path) -> Result<OpenedStore<C>, String> {
-    create_folder(folder).map_err(|e| format!("copies.data: cannot make {}: {e}", folder.display()))?;
+    create_folder(folder)
+        .map_err(|e| format!("copies.data: cannot create directory {}: {e}", folder.display()))?;
     let file = folder.join(FILE);
     let described = |error: StoreError| format!("copies.data: {}: {error}", file.display());
     match open_file(&file) {
@@ -144,7 +145,7 @@
 
 fn set_damaged_file_aside(file: &Path, error: &StoreError) -> Result<(), StoreError> {
     let aside: PathBuf = file.with_file_name(DAMAGED_FILE);
-    log::error!(event = "damaged"; "copies: the store is damaged, it is put aside as {}: {error}", aside.display());
+    log::error!(event = "damaged"; "copies: the store is damaged, setting it aside as {}: {error}", aside.display());
     Ok(fs::rename(file, &aside)?)
 }
 
@@ -152,24 +153,23 @@
     if !file.try_exists()? {
         create_file(file)?;
     }
-    // A name is found after a loss of power only once its folder is on the disk, too: without, all replicas that began
-    // together could come back empty.
+    // A new file survives a power loss only once its directory is synced. Otherwise all replicas that started together
+    // could lose their stores at once.
     if let Some(folder) = file.parent() {
         File::open(folder)?.sync_all()?;
     }
     open_untrusted(file)
 }
 
-/// Opens a file whose bytes may be other ones than were written. `redb` trusts a file that was closed in order and may
-/// panic on one that was changed since; its check at the opening would not, but goes back to the commit before where
-/// the last one is damaged, without reporting it.
+/// Opens a file that may be corrupted, and reports a panic of `redb` as damage. `redb` trusts a file that was closed
+/// cleanly, and may panic if it was changed since.
 fn open_untrusted<C: ReplicatedState>(file: &Path) -> Result<OpenedStore<C>, StoreError> {
     let opened = panic::catch_unwind(|| open_database(Database::open(file)?));
     opened.unwrap_or_else(|_| Err(panicked()))
 }
 
 fn panicked() -> StoreError {
-    StoreError::Damaged("its bytes make the database panic".to_owned())
+    StoreError::Damaged("the database panicked on its contents".to_owned())
 }
 
 fn create_file(file: &Path) -> Result<(), StoreError> {
@@ -178,7 +178,7 @@
     Ok(fs::rename(&unfinished, file)?)
 }
 
-/// The name of a file that is being made, of which an earlier attempt left nothing.
+/// The path for a new store, after removing what an earlier attempt left there.
 fn unfinished_file(file: &Path) -> io::Result<PathBuf> {
     let unfinished = file.with_file_name(UNFINISHED_FILE);
     if unfinished.try_exists()? {
@@ -187,7 +187,7 @@
     Ok(unfinished)
 }
 
-/// Writes the format, a new node's number and the tables into an empty database.
+/// Writes the format version, a new node number and the tables to an empty database.
 fn initialize(database: Database) -> Result<(), StoreError> {
     let transaction = database.begin_write()?;
     {
@@ -199,10 +199,10 @@
     Ok(transaction.commit()?)
 }
 
-/// Opens a store again after it has failed, as another start of the same node.
+/// Reopens a failed store as another start of the same node.
 ///
-/// After a failed sync the system may take pages to be clean that are not on the disk, so that a later sync of the same
-/// file promises nothing: what is read of it is written whole into a new file, which takes its name once it is durable.
+/// After a failed sync the kernel may mark pages as clean that are not on the disk, so that a later sync of the same file
+/// proves nothing. The contents are therefore copied to a new file, which replaces the old one once it is durable.
 pub(super) fn recover<C: ReplicatedState>(folder: &Path, node: NodeId) -> Result<OpenedStore<C>, StoreError> {
     let file = folder.join(FILE);
     let unfinished = unfinished_file(&file)?;
@@ -221,29 +221,31 @@
     Ok(OpenedStore { store, node, start, shards })
 }
 
-/// Checks a database, counts this start in it and reads what it holds.
+/// Checks a database, records this start in it and loads the shards.
 fn open_database<C: ReplicatedState>(database: Database) -> Result<OpenedStore<C>, StoreError> {
     let (store, node) = check_database(database)?;
-    // The count of starts is on the disk before this start number is used.
+    // The start number is durable before it is used.
     let start = store.begin_start()?;
     let shards = store.load()?;
     Ok(OpenedStore { store, node, start, shards })
 }
 
-/// Checks a database whole, and reads which node's it is.
+/// Checks the integrity and the format of a database, and reads its node's number.
 fn check_database<C: ReplicatedState>(mut database: Database) -> Result<(Store<C>, NodeId), StoreError> {
-    // Reads alone check nothing. One that had to be repaired went back behind what it promised.
+    // Reads do not verify checksums. A database that had to be repaired has lost acknowledged commits.
     if !database.check_integrity()? {
-        return Err(StoreError::Damaged("it could only be mended by going back".to_owned()));
+        return Err(StoreError::Damaged(
+            "the last commit is damaged and could only be rolled back".to_owned(),
+        ));
     }
     match read_meta(&database, FORMAT_KEY)? {
-        // A build before this one could stop between the making of its file and its first commit.
-        None => return Err(StoreError::Damaged("it was never finished".to_owned())),
+        // Older versions could stop between creating the file and the first commit.
+        None => return Err(StoreError::Damaged("the store was never initialized".to_owned())),
         Some(FORMAT) => {}
         Some(other) => return Err(StoreError::Format(other)),
     }
     let node = read_meta(&database, NODE_KEY)?;
-    let node = node.ok_or_else(|| StoreError::Damaged("it has no number of its node".to_owned()))?;
+    let node = node.ok_or_else(|| StoreError::Damaged("the node number is missing".to_owned()))?;
     Ok((Store::new(database), node))
 }
 
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Counts another start, and gives its number.
+    /// Increments the start counter and returns the new start's number.
     pub(super) fn begin_start(&self) -> Result<u64, StoreError> {
         let transaction = self.database.begin_write()?;
         let start = {
@@ -278,7 +280,7 @@
         Ok(start)
     }
 
-    /// Reads the shards that the store holds.
+    /// Loads all shards.
     pub(super) fn load(&self) -> Result<Vec<ShardState<C>>, StoreError> {
         let transaction = self.database.begin_read()?;
         let mut shards: BTreeMap<u32, (u64, C)> = BTreeMap::new();
@@ -301,7 +303,7 @@
         Ok(shards.into_iter().map(|(shard, (seq, content))| ShardState { shard, seq, content }).collect())
     }
 
-    /// Writes all of a node's state into an empty store.
+    /// Writes the node's number, start counter and shards to an empty store.
     fn write_full_state(&self, node: NodeId, start: u64, shards: &[ShardState<C>]) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         {
@@ -317,7 +319,7 @@
         Ok(transaction.commit()?)
     }
 
-    /// Carries out a batch of writes; all of it is durable once this returns.
+    /// Commits a batch of writes in one transaction, which is durable when this returns.
     pub(super) fn commit(&self, writes: &[StoreWrite<C>]) -> Result<(), StoreError> {
         #[cfg(test)]
         while self.stalled.load(std::sync::atomic::Ordering::SeqCst) {
@@ -330,7 +332,7 @@
     }
 }
 
-/// The two tables of shards within a transaction.
+/// The tables of shards, opened in a transaction.
 struct ShardTables<'t> {
     snapshots: Table<'t, u32, &'static [u8]>,
     operations: Table<'t, (u32, u64), &'static [u8]>,
@@ -368,7 +370,7 @@
         Ok(())
     }
 
-    /// Stores a shard's state in place of the operations that led to it.
+    /// Replaces the stored operations of a shard with a snapshot.
     fn compact<C: ReplicatedState>(&mut self, shard: u32) -> Result<(), StoreError> {
         let (mut seq, mut content): (u64, C) = match self.snapshots.get(shard)? {
             Some(bytes) => decode(shard, bytes.value())?,
--- a/proxy/src/replication/store/tests.rs
+++ b/proxy/src/replication/store/tests.rs
@@ -1,4 +1,4 @@
-//! The store on disk: its bytes as version 1 wrote them, and bytes that were changed.
+//! The store on disk: compatibility with format 1, corrupted files and recovery.
 
 use super::*;
 use notchdoor_negative_cache::{NegativeCacheShard, Operation};
@@ -7,10 +7,9 @@
     Operation::Insert { key: format!("key-{n}").into_bytes(), token: 0, at: n }
 }
 
-/// A byte of the file that is another one is found at the start, wherever it is: the store is put aside, or what it
-/// holds is what was written.
+/// Flips a bit at positions all over the file: each time the store is set aside, refused, or loaded unchanged.
 #[test]
-fn a_changed_byte_of_the_store_is_never_answered_from() {
+fn a_corrupted_store_is_set_aside_or_loaded_unchanged() {
     let folder = std::env::temp_dir().join(format!("notchdoor-store-{}", std::process::id()));
     let written = {
         let store = open::<NegativeCacheShard>(&folder).unwrap().store;
@@ -23,7 +22,7 @@
     let OpenedStore { node, start, shards, .. } = open::<NegativeCacheShard>(&folder).unwrap();
     assert_eq!((start, &shards), (2, &written));
     let original = std::fs::read(&file).unwrap();
-    let text = original.windows(5).position(|w| w == b"key-7").expect("a key stands in the file");
+    let text = original.windows(5).position(|w| w == b"key-7").expect("the file contains the key");
     let mut damaged_files = 0;
     for at in [text, 0, 9, 70, 200].into_iter().chain((0..original.len()).step_by(original.len() / 40)) {
         let mut corrupted = original.clone();
@@ -31,23 +30,23 @@
         std::fs::write(&file, &corrupted).unwrap();
         match open::<NegativeCacheShard>(&folder) {
             Ok(OpenedStore { node: other, shards, .. }) if other != node => {
-                assert!(shards.is_empty(), "byte {at}: another node holds {shards:?}");
+                assert!(shards.is_empty(), "byte {at}: the new node has shards {shards:?}");
                 assert_eq!(std::fs::read(folder.join("copies.damaged")).unwrap().len(), original.len());
                 damaged_files += 1;
             }
             Ok(OpenedStore { shards, .. }) => assert_eq!(shards, written, "byte {at}"),
             Err(error) => assert!(error.starts_with("copies.data: "), "byte {at}: {error}"),
         }
-        assert!(at != text || damaged_files == 1, "a changed key is found");
+        assert!(at != text || damaged_files == 1, "a corrupted key was not detected");
     }
-    assert!(damaged_files > 3, "{damaged_files} were put aside");
+    assert!(damaged_files > 3, "only {damaged_files} corrupted files were set aside");
     std::fs::write(&file, &original).unwrap();
     drop(open::<NegativeCacheShard>(&folder).unwrap());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Raw rows of the store's tables as a build of format 1 wrote them, in hex: what each later build of that format has
-/// to read, and to write for the same contents.
+/// Rows of the tables in format 1, in hex. Every version that supports this format must read these bytes, and write them
+/// for the same contents.
 struct RawStore {
     meta: Vec<(&'static str, u64)>,
     whole: Vec<(u32, &'static str)>,
@@ -67,7 +66,7 @@
     }
 }
 
-/// The writes that made [`raw_store`].
+/// The writes that produce [`raw_store`].
 fn writes_of_raw_store() -> Vec<StoreWrite<NegativeCacheShard>> {
     let invalidate = |key: &[u8]| Operation::Invalidate { key: key.to_vec() };
     let bar = Operation::Tombstone { key: b"written".to_vec(), until: 1_700_000_030_000 };
@@ -93,7 +92,7 @@
     content
 }
 
-/// What [`raw_store`] holds, by shard.
+/// The shards that [`raw_store`] contains.
 fn shards_of_raw_store() -> Vec<ShardState<NegativeCacheShard>> {
     let writes = writes_of_raw_store();
     let ops_of = |shard_number: u32| -> Vec<Operation> {
@@ -104,7 +103,7 @@
         writes.iter().filter_map(op).collect()
     };
     let StoreWrite::Snapshot { content: mut third, .. } = writes[2].clone() else {
-        panic!("the third is whole")
+        panic!("the third write is a snapshot")
     };
     for op in ops_of(3) {
         third.apply(&op);
@@ -130,7 +129,7 @@
 }
 
 #[test]
-fn a_store_of_format_one_is_read_as_it_was_written() {
+fn stored_rows_of_format_1_are_read() {
     let folder = store_folder("read");
     let raw = raw_store();
     {
@@ -159,7 +158,7 @@
 }
 
 #[test]
-fn a_store_of_format_one_is_written_byte_for_byte() {
+fn rows_are_written_in_format_1_byte_for_byte() {
     let folder = store_folder("write");
     let raw = raw_store();
     let OpenedStore { store, node, start, shards } = open::<NegativeCacheShard>(&folder).unwrap();
@@ -190,11 +189,11 @@
 }
 
 #[test]
-fn a_store_that_failed_is_recovered_as_another_start_of_the_same_node() {
+fn recovering_a_failed_store_keeps_the_node_and_its_shards_and_counts_a_start() {
     let folder = store_folder("recovered");
     let OpenedStore { store, node, .. } = open::<NegativeCacheShard>(&folder).unwrap();
     store.commit(&writes_of_raw_store()).unwrap();
-    // One process has it open at a time, also while it recovers.
+    // The store cannot be recovered while it is open.
     assert!(recover::<NegativeCacheShard>(&folder, node).is_err());
     drop(store);
     let another = recover::<NegativeCacheShard>(&folder, node ^ 1);
@@ -202,7 +201,7 @@
     let recovered = recover::<NegativeCacheShard>(&folder, node).unwrap();
     assert_eq!((recovered.node, recovered.start), (node, 2));
     assert_eq!(recovered.shards, shards_of_raw_store());
-    // It is written to as before, and the next process finds both.
+    // The recovered store accepts writes, and the next start loads old and new ones.
     recovered.store.commit(&[StoreWrite::Append { shard: 7, seq: 2, operation: op(2) }]).unwrap();
     drop(recovered);
     let next = open::<NegativeCacheShard>(&folder).unwrap();
@@ -216,13 +215,13 @@
 }
 
 #[test]
-fn what_an_unfinished_start_has_left_is_no_store_and_no_damage() {
+fn an_unfinished_file_is_ignored_and_not_reported_as_damage() {
     let folder = store_folder("unfinished");
     std::fs::write(folder.join(UNFINISHED_FILE), [0; 4096]).unwrap();
     let OpenedStore { store, node, start, shards } = open::<NegativeCacheShard>(&folder).unwrap();
     assert_eq!((start, shards.len()), (1, 0));
     drop(store);
-    // Nor is what a recovery has left.
+    // The same for an unfinished file of a recovery.
     std::fs::write(folder.join(UNFINISHED_FILE), [0; 4096]).unwrap();
     assert_eq!(open::<NegativeCacheShard>(&folder).unwrap().node, node);
     assert_eq!(recover::<NegativeCacheShard>(&folder, node).unwrap().start, 3);
--- a/proxy/src/replication/tests.rs
+++ b/proxy/src/replication/tests.rs
@@ -1,4 +1,4 @@
-//! The runtime of a node that is alone, beside a group's member that only answers what a node asks.
+//! The runtime of a single node, with a stub of a lease group member.
 
 use super::*;
 use futures_lite::future::block_on;
@@ -12,7 +12,7 @@
 
 type Runtime = ReplicationRuntime<NegativeCacheShard>;
 
-/// A member that applies every change to one shard map, and takes every node to be up.
+/// Starts a stub of a group member, which applies every shard map change and reports every node as up.
 fn start_group_member() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -56,7 +56,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A node of one shard, of which it is the only replica.
+/// Starts a node with one shard, of which it is the only replica.
 fn start_node(name: &str, executor: &Rc<LocalExecutor<'static>>) -> Rc<Runtime> {
     let data = std::env::temp_dir().join(format!("notchdoor-runtime-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&data);
@@ -80,15 +80,15 @@
 async fn wait_until_committed(runtime: &Rc<Runtime>) {
     let until = Instant::now() + Duration::from_secs(10);
     while !matches!(invalidate(runtime, Duration::from_secs(1)).await, Response::Committed(_)) {
-        assert!(Instant::now() < until, "nothing is ever committed");
+        assert!(Instant::now() < until, "no operation was committed within 10 s");
         Timer::after(TICK_INTERVAL).await;
     }
 }
 
 #[test]
-fn requests_end_in_time_while_the_disk_stands_still() {
+fn requests_get_a_response_within_their_limit_while_the_disk_is_stalled() {
     const LIMIT: Duration = Duration::from_millis(10);
-    // Each may wait for the next tick beside its limit; the rest is for a busy machine.
+    // The limit, one tick, and a margin for a busy machine.
     const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1_000);
     let executor = Rc::new(LocalExecutor::new());
     let runtime = start_node("stalled", &executor);
