--- a/proxy/src/state/boot_times.rs
+++ b/proxy/src/state/boot_times.rs
@@ -20,22 +20,22 @@
 
 /// A start is told within so long when nothing is wrong; only a wall clock that is further ahead counts as wrong for
 /// the backends of the first list, for a corrected start voids what is known of a backend.
-const USUAL_NOTICE: Micros = 1_000_000;
+const MAX_NOTIFICATION_DELAY: Micros = 1_000_000;
 
 /// What is known of a backend's last start.
 struct Boot {
     stamp: UnixMicros,
-    notified: Micros,
+    notified_at: Micros,
     started_at: Micros,
     /// Told by a change, not by the list that the process began with.
-    watched: bool,
+    from_update: bool,
 }
 
 /// See the module.
 pub struct BootTimes {
     wall: ClockOffset,
     /// The least offset that a change has shown.
-    seen: Option<ClockOffset>,
+    min_offset: Option<ClockOffset>,
     slow_start: Micros,
     /// Whether discovery has brought the list up to date since the process began.
     current: bool,
@@ -46,36 +46,37 @@
     /// Nothing is known yet but what the clocks showed at the start.
     pub fn new(start: ClockReading, slow_start: Micros) -> Self {
         let wall = start.offset();
-        BootTimes { wall, seen: None, slow_start, current: false, boots: HashMap::new() }
+        BootTimes { wall, min_offset: None, slow_start, current: false, boots: HashMap::new() }
     }
 
-    /// Discovery has been heard: a start that it tells from here on is news.
+    /// Discovery has been heard: a start that it tells from here on is new.
     pub fn set_current(&mut self) {
         self.current = true;
     }
 
     /// Takes note of the starts that one update tells, before any of them is asked for. Backends of the first list
     /// whose slow start this changes, with their starts.
-    pub fn notified(
+    pub fn record_starts(
         &mut self,
         now: Micros,
-        told: impl Iterator<Item = (ServerId, UnixMicros)>,
+        starts: impl Iterator<Item = (ServerId, UnixMicros)>,
     ) -> Vec<(ServerId, Micros)> {
-        let mut news = Vec::new();
-        for (server, stamp) in told {
+        let mut new_starts = Vec::new();
+        for (server, stamp) in starts {
             if stamp == UnixMicros::default() {
                 self.boots.remove(&server);
             } else if self.boots.get(&server).is_none_or(|b| b.stamp != stamp) {
-                news.push((server, stamp));
+                new_starts.push((server, stamp));
             }
         }
         if self.current {
-            let samples = news.iter().map(|(_, stamp)| ClockOffset::between(*stamp, now));
-            self.seen = self.seen.into_iter().chain(samples).min();
+            let samples = new_starts.iter().map(|(_, stamp)| ClockOffset::between(*stamp, now));
+            self.min_offset = self.min_offset.into_iter().chain(samples).min();
         }
-        for (server, stamp) in news {
-            let started_at = self.reckon(stamp, now);
-            self.boots.insert(server, Boot { stamp, notified: now, started_at, watched: self.current });
+        for (server, stamp) in new_starts {
+            let started_at = self.estimate_start(stamp, now);
+            self.boots
+                .insert(server, Boot { stamp, notified_at: now, started_at, from_update: self.current });
         }
         self.correct_first_list(now)
     }
@@ -100,20 +101,20 @@
         self.boots.retain(|server, _| keep(server));
     }
 
-    fn reckon(&self, stamp: UnixMicros, notified: Micros) -> Micros {
-        let offset = self.seen.map_or(self.wall, |seen| seen.max(self.wall));
+    fn estimate_start(&self, stamp: UnixMicros, notified: Micros) -> Micros {
+        let offset = self.min_offset.map_or(self.wall, |offset| offset.max(self.wall));
         offset.monotonic(stamp).min(notified)
     }
 
     /// Where the wall clock has turned out to be ahead: the backends of the first list that are still in slow start.
     fn correct_first_list(&mut self, now: Micros) -> Vec<(ServerId, Micros)> {
-        if self.seen.is_none_or(|seen| seen.exceeds_by(self.wall) <= USUAL_NOTICE) {
+        if self.min_offset.is_none_or(|offset| offset.exceeds_by(self.wall) <= MAX_NOTIFICATION_DELAY) {
             return Vec::new();
         }
         let mut corrected = Vec::new();
-        let offset = self.seen.unwrap_or(self.wall);
-        for (&server, boot) in self.boots.iter_mut().filter(|(_, boot)| !boot.watched) {
-            let started_at = offset.monotonic(boot.stamp).min(boot.notified);
+        let offset = self.min_offset.unwrap_or(self.wall);
+        for (&server, boot) in self.boots.iter_mut().filter(|(_, boot)| !boot.from_update) {
+            let started_at = offset.monotonic(boot.stamp).min(boot.notified_at);
             if started_at > boot.started_at && started_at.saturating_add(self.slow_start) > now {
                 boot.started_at = started_at;
                 corrected.push((server, started_at));
--- a/proxy/src/state/endpoints.rs
+++ b/proxy/src/state/endpoints.rs
@@ -10,13 +10,13 @@
 use thiserror::Error;
 
 /// The most backends that are kept, those that are gone included.
-const MOST_BACKENDS: usize = 4096;
+const MAX_BACKENDS: usize = 4096;
 /// The most backends whose last start is remembered, those that have left included.
-const MOST_BOOT_TIMES: usize = 2 * MOST_BACKENDS;
+const MAX_BOOT_TIMES: usize = 2 * MAX_BACKENDS;
 /// The longest name of a backend: it is kept, and stands in log lines.
-const MOST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// Lines of one update that are told when they cannot be used; of more, the log has their number.
-const MOST_TOLD: usize = 4;
+const MAX_LOGGED_TARGETS: usize = 4;
 
 /// One line of the list, as discovery writes it.
 #[derive(Clone, Debug, Deserialize)]
@@ -37,7 +37,7 @@
     /// Its state.
     pub state: Readiness,
     /// Its size beside the others'.
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity")]
     pub capacity_hint: f64,
     /// Its last start in Unix milliseconds; 0 for long ago.
     #[serde(default)]
@@ -52,14 +52,14 @@
     }
 }
 
-fn one() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
 
 /// Why a line of the list cannot be used.
 #[derive(Debug, Error)]
 enum UnusableTarget {
-    #[error("a backend's name of {0} bytes, {MOST_NAME} at the most")]
+    #[error("a backend's name of {0} bytes, {MAX_NAME_BYTES} at the most")]
     NameTooLong(usize),
     #[error("{uid} has no usable endpoint: {start:?}")]
     NoEndpoint { uid: String, start: String },
@@ -123,7 +123,7 @@
     drained: BTreeSet<String>,
     /// Those put back lately: they are taken for started when this process learnt of it, unless the list names a later
     /// start. A backend that was restarted meanwhile must not get a full share: discovery tells of it seconds late.
-    back: BTreeMap<String, PutBack>,
+    put_back: BTreeMap<String, PutBack>,
     start: ClockReading,
     slow_start: Micros,
     boot_times: BootTimes,
@@ -145,12 +145,12 @@
     /// The stamp of whoever put it back: it tells one time from another, and no more.
     stamp: UnixMicros,
     /// When this process learnt of it.
-    noticed: Micros,
+    noticed_at: Micros,
 }
 
 /// The wall clock may be set by so much between two processes. A backend that was put back longer ago than this and its
 /// slow start is warm, whatever the clock says; any other counts as put back when the process learns of it.
-pub const MOST_WALL_STEP: Micros = 3_600_000_000;
+pub const MAX_WALL_CLOCK_STEP: Micros = 3_600_000_000;
 
 /// A backend's number: pinned, so that it is the same at every proxy and after every restart.
 pub fn server_id(uid: &str) -> ServerId {
@@ -174,7 +174,7 @@
             boot_times: BootTimes::new(start, slow_start),
             backends: HashMap::new(),
             drained: BTreeSet::new(),
-            back: BTreeMap::new(),
+            put_back: BTreeMap::new(),
             rev: 0,
         }
     }
@@ -222,15 +222,15 @@
 
     /// Drains these backends and no others, whatever discovery says.
     pub fn set_drains(&mut self, now: Micros, drains: AdministrativeDrains) -> Applied {
-        let back = drains
+        let put_back = drains
             .put_back
             .into_iter()
             .filter_map(|(uid, stamp)| Some((self.put_back(now, &uid, stamp)?, uid)));
-        let back = back.map(|(put_back, uid)| (uid, put_back)).collect();
-        (self.drained, self.back) = (drains.drained, back);
+        let put_back = put_back.map(|(record, uid)| (uid, record)).collect();
+        (self.drained, self.put_back) = (drains.drained, put_back);
         let mut applied = Applied::default();
         for (&server, backend) in &mut self.backends {
-            let member = overlaid(&self.drained, &self.back, &backend.uid, &backend.listed);
+            let member = with_drains(&self.drained, &self.put_back, &backend.uid, &backend.listed);
             let serving = member.state == ServerState::Serving;
             if backend.serving != serving {
                 backend.serving = serving;
@@ -246,11 +246,11 @@
 
     /// What a stamp in the hot-restart file comes to; `None` for a backend that is warm by now.
     fn put_back(&self, now: Micros, uid: &str, stamp: UnixMicros) -> Option<PutBack> {
-        let known = self.back.get(uid).filter(|known| known.stamp == stamp);
-        let noticed = known.map_or(now, |known| known.noticed);
-        let warm_after = MOST_WALL_STEP.saturating_add(self.slow_start);
+        let known = self.put_back.get(uid).filter(|known| known.stamp == stamp);
+        let noticed_at = known.map_or(now, |known| known.noticed_at);
+        let warm_after = MAX_WALL_CLOCK_STEP.saturating_add(self.slow_start);
         let warm = stamp.0.saturating_add(warm_after) <= self.start.wall_at(now).0;
-        (known.is_some() || !warm).then_some(PutBack { stamp, noticed })
+        (known.is_some() || !warm).then_some(PutBack { stamp, noticed_at })
     }
 
     /// Takes a list or changes. `None` for changes older than what is held.
@@ -261,24 +261,24 @@
         self.rev = update.rev;
         let mut applied = Applied { all: update.all, ..Applied::default() };
         let boots = update.targets.iter().map(|target| (server_id(&target.uid), target.boot()));
-        let corrected = self.boot_times.notified(now, boots);
+        let corrected = self.boot_times.record_starts(now, boots);
         let (mut named, mut unusable) = (HashSet::new(), 0);
         for target in update.targets {
-            match self.line(target, &mut applied.dropped) {
+            match self.apply_target(target, &mut applied.dropped) {
                 Ok(member) => {
                     named.insert(member.server);
                     applied.members.push(member);
                 }
                 // One bad list, sent over and over, would fill the log.
-                Err(why) => {
+                Err(error) => {
                     unusable += 1;
-                    if unusable <= MOST_TOLD {
-                        log::error!("discovery: {why}");
+                    if unusable <= MAX_LOGGED_TARGETS {
+                        log::error!("discovery: {error}");
                     }
                 }
             }
         }
-        if unusable > MOST_TOLD {
+        if unusable > MAX_LOGGED_TARGETS {
             log::error!(unusable; "discovery: {unusable} lines of version {} cannot be used", self.rev);
         }
         if update.all {
@@ -289,8 +289,8 @@
             }
             self.backends.retain(|id, _| named.contains(id));
         }
-        self.correct(&corrected, &named, &mut applied);
-        if self.boot_times.len() > MOST_BOOT_TIMES {
+        self.apply_corrected_starts(&corrected, &named, &mut applied);
+        if self.boot_times.len() > MAX_BOOT_TIMES {
             let backends = &self.backends;
             self.boot_times.retain(|server| backends.contains_key(server));
         }
@@ -298,7 +298,7 @@
     }
 
     /// Tells other starts of backends that this update did not name.
-    fn correct(
+    fn apply_corrected_starts(
         &mut self,
         corrected: &[(ServerId, Micros)],
         named: &HashSet<ServerId>,
@@ -307,26 +307,35 @@
         for (server, started_at) in corrected.iter().filter(|(server, _)| !named.contains(server)) {
             if let Some(backend) = self.backends.get_mut(server) {
                 backend.listed.started_at = *started_at;
-                applied.members.push(overlaid(&self.drained, &self.back, &backend.uid, &backend.listed));
+                applied.members.push(with_drains(
+                    &self.drained,
+                    &self.put_back,
+                    &backend.uid,
+                    &backend.listed,
+                ));
             }
         }
     }
 
     /// Takes up one line; the error says why it cannot be used.
-    fn line(&mut self, target: Target, dropped: &mut Vec<ServerId>) -> Result<Endpoint, UnusableTarget> {
-        if target.uid.len() > MOST_NAME {
+    fn apply_target(
+        &mut self,
+        target: Target,
+        dropped: &mut Vec<ServerId>,
+    ) -> Result<Endpoint, UnusableTarget> {
+        if target.uid.len() > MAX_NAME_BYTES {
             return Err(UnusableTarget::NameTooLong(target.uid.len()));
         }
         let server = server_id(&target.uid);
         let Ok(endpoint) = target.endpoint.parse::<SocketAddr>() else {
-            let start: String = target.endpoint.chars().take(MOST_NAME).collect();
+            let start: String = target.endpoint.chars().take(MAX_NAME_BYTES).collect();
             return Err(UnusableTarget::NoEndpoint { uid: target.uid, start });
         };
         // The router would take the two for one.
         if let Some(other) = self.backends.get(&server).filter(|w| w.uid != target.uid) {
             return Err(UnusableTarget::SharedNumber { uid: target.uid, other: other.uid.clone(), server });
         }
-        if !self.backends.contains_key(&server) && self.backends.len() >= MOST_BACKENDS {
+        if !self.backends.contains_key(&server) && self.backends.len() >= MAX_BACKENDS {
             return Err(UnusableTarget::TooMany(target.uid));
         }
         let gone = target.state == Readiness::Terminated;
@@ -341,7 +350,7 @@
             started_at: self.boot_times.started_at(server),
             state: ServerState::from(target.state),
         };
-        let member = overlaid(&self.drained, &self.back, &target.uid, &listed);
+        let member = with_drains(&self.drained, &self.put_back, &target.uid, &listed);
         let serving = member.state == ServerState::Serving;
         let origin = self.origin_kind == Some(kind);
         let new = Backend { uid: target.uid, endpoint, origin, boot, listed, serving };
@@ -358,9 +367,9 @@
 }
 
 /// What the module is told of a backend: the stricter of the list's line and operators' drains.
-fn overlaid(
+fn with_drains(
     drained: &BTreeSet<String>,
-    back: &BTreeMap<String, PutBack>,
+    put_back: &BTreeMap<String, PutBack>,
     uid: &str,
     listed: &Endpoint,
 ) -> Endpoint {
@@ -368,8 +377,8 @@
     if member.state == ServerState::Serving && drained.contains(uid) {
         member.state = ServerState::Draining;
     }
-    if let Some(put_back) = back.get(uid) {
-        member.started_at = member.started_at.max(put_back.noticed);
+    if let Some(put_back) = put_back.get(uid) {
+        member.started_at = member.started_at.max(put_back.noticed_at);
     }
     member
 }
--- a/proxy/src/state/endpoints/tests.rs
+++ b/proxy/src/state/endpoints/tests.rs
@@ -64,17 +64,17 @@
 #[test]
 fn a_list_of_any_size_is_taken_up_and_what_cannot_be_used_is_left_out() {
     let mut endpoints = endpoints();
-    let names: Vec<String> = (0..2 * MOST_BACKENDS).map(|n| format!("w{n}")).collect();
+    let names: Vec<String> = (0..2 * MAX_BACKENDS).map(|n| format!("w{n}")).collect();
     let lines: Vec<_> = names.iter().map(|n| (n.as_str(), 1, Readiness::InService, 0.0)).collect();
     let mut list = update(1, true, &lines);
-    list.targets[0].uid = "x".repeat(MOST_NAME + 1);
+    list.targets[0].uid = "x".repeat(MAX_NAME_BYTES + 1);
     list.targets[1].endpoint = "nowhere".into();
     let applied = endpoints.apply(NOW, list).unwrap();
-    assert_eq!((applied.members.len(), endpoints.backends.len()), (MOST_BACKENDS, MOST_BACKENDS));
-    for (uid, used) in [("w1", false), ("w2", true), ("x".repeat(MOST_NAME + 1).as_str(), false)] {
+    assert_eq!((applied.members.len(), endpoints.backends.len()), (MAX_BACKENDS, MAX_BACKENDS));
+    for (uid, used) in [("w1", false), ("w2", true), ("x".repeat(MAX_NAME_BYTES + 1).as_str(), false)] {
         assert_eq!(endpoints.backend(server_id(uid)).is_some(), used, "{uid}");
     }
-    assert_eq!(endpoints.apply(NOW, update(2, true, &[])).unwrap().dropped.len(), MOST_BACKENDS);
+    assert_eq!(endpoints.apply(NOW, update(2, true, &[])).unwrap().dropped.len(), MAX_BACKENDS);
 }
 
 #[test]
--- a/proxy/src/state/hot_restart.rs
+++ b/proxy/src/state/hot_restart.rs
@@ -5,7 +5,7 @@
 //! The state file is replaced by rename, so that a process that dies on the way leaves the old one. A lock on one of
 //! the slots tells that its holder lives: it goes with the process, however that ends.
 
-use super::endpoints::MOST_WALL_STEP;
+use super::endpoints::MAX_WALL_CLOCK_STEP;
 use super::time::UnixMicros;
 use notchdoor::Micros;
 use notchdoor_settings::bounded_file;
@@ -79,11 +79,11 @@
 /// Processes of one proxy that can know of each other: two of an upgrade, and one more that is still leaving.
 const SLOTS: usize = 4;
 /// The largest file that is read.
-const MOST_BYTES: u64 = 256 * 1024;
+const MAX_STATE_BYTES: u64 = 256 * 1024;
 /// So many files of the folder are looked at.
-const MOST_FILES: usize = 4096;
+const MAX_SCANNED_FILES: usize = 4096;
 /// The most backends that operators can drain.
-pub const MOST_DRAINED: usize = 256;
+pub const MAX_DRAINED: usize = 256;
 
 /// A backend that was put back lately.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -135,7 +135,7 @@
         if state.name != name {
             return Err(UnusableState::OtherProxy(state.name));
         }
-        if state.drained.len() > MOST_DRAINED || state.put_back.len() > MOST_DRAINED {
+        if state.drained.len() > MAX_DRAINED || state.put_back.len() > MAX_DRAINED {
             return Err(UnusableState::TooManyBackends);
         }
         Ok(state)
@@ -151,7 +151,7 @@
         if self.is_drained(backend) {
             return true;
         }
-        if self.drained.len() >= MOST_DRAINED {
+        if self.drained.len() >= MAX_DRAINED {
             return false;
         }
         self.drained.push(backend.to_owned());
@@ -162,11 +162,11 @@
     /// Puts a backend back; those that are warm by now are forgotten. A clock that was set forward a moment ago makes one
     /// look so that is not: it is kept for as long as a step can be.
     pub fn put_back(&mut self, backend: &str, now: UnixMicros, cold: Micros) {
-        let warm_after = cold.saturating_add(MOST_WALL_STEP);
+        let warm_after = cold.saturating_add(MAX_WALL_CLOCK_STEP);
         self.put_back.retain(|b| b.at.0.saturating_add(warm_after) > now.0);
         if self.is_drained(backend) {
             self.drained.retain(|w| w != backend);
-            if self.put_back.len() >= MOST_DRAINED {
+            if self.put_back.len() >= MAX_DRAINED {
                 self.put_back.remove(0);
             }
             self.put_back.push(PutBack { backend: backend.to_owned(), at: now });
@@ -180,7 +180,7 @@
     /// It takes clients.
     pub open: bool,
     /// The latest change of the state that it heeds.
-    pub heeded: u64,
+    pub state_serial: u64,
 }
 
 /// This process's part in the hot restart.
@@ -218,12 +218,12 @@
     /// changed: the file that is there is replaced only by one that is whole on the disk. It may block for as long as the
     /// disk does, so it needs nothing of the process, and no request waits for it meanwhile: a rename over a file takes a
     /// tenth of a second where the disk is busy.
-    pub fn keep(self) -> Result<HotRestartState, HotRestartError> {
+    pub fn write(self) -> Result<HotRestartState, HotRestartError> {
         let text = serde_json::to_vec(&self.next).map_err(std::io::Error::from);
-        let kept = text
-            .and_then(|text| write_whole(&self.new, &text))
+        let result = text
+            .and_then(|text| write_and_sync(&self.new, &text))
             .and_then(|()| std::fs::rename(&self.new, &self.path));
-        if let Err(source) = kept {
+        if let Err(source) = result {
             // Half a file is of no use, and takes room on a full disk. Left where it cannot be removed, it is written
             // over by the next change.
             let _ = std::fs::remove_file(&self.new);
@@ -234,20 +234,20 @@
 }
 
 /// Writes a file and has the disk take it: an error that the system notices only then is no success.
-fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+fn write_and_sync(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut file = File::create(path)?;
     file.write_all(bytes)?;
     file.sync_all()
 }
 
-fn lockable(path: &Path) -> std::io::Result<File> {
+fn open_lock_file(path: &Path) -> std::io::Result<File> {
     OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
 }
 
 impl HotRestart {
     /// Takes a slot in this folder and the state that is there. What another deployment has left there is left alone. The
     /// error says why there is no hot restart; what is
-    /// wrong with the state alone is told in the second place, and then nothing is out.
+    /// A problem of the state alone is returned in the second place, and then nothing is out.
     pub fn join(
         folder: &Path,
         name: &str,
@@ -257,13 +257,13 @@
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let file: String = format!("{name:.64}-{address}").chars().map(plain).collect();
         let (any, own) = (format!("notchdoor-{file}"), format!("notchdoor-{file}-{deployment:016x}"));
-        for foreign in foreign(folder, &any, &own) {
-            log::warn!("hot restart: {foreign} is of another deployment and left alone");
+        for ignored in states_of_other_deployments(folder, &any, &own) {
+            log::warn!("hot restart: {ignored} is of another deployment and left alone");
         }
         let base = folder.join(own);
         for slot in 0..SLOTS {
             let path = slot_path(&base, slot);
-            let lock = lockable(&path).map_err(HotRestartError::file(&path))?;
+            let lock = open_lock_file(&path).map_err(HotRestartError::file(&path))?;
             match lock.try_lock() {
                 Ok(()) => {}
                 Err(TryLockError::WouldBlock) => continue,
@@ -271,9 +271,9 @@
             }
             let state = HotRestartState::empty(name);
             let mut joined = HotRestart { name: name.to_owned(), base, slot, lock, open: false, state };
-            let wrong = joined.refresh().err();
-            joined.tell();
-            return Ok((joined, wrong));
+            let state_error = joined.refresh().err();
+            joined.publish();
+            return Ok((joined, state_error));
         }
         Err(HotRestartError::TooManyProcesses { base })
     }
@@ -286,7 +286,7 @@
     /// held stays.
     pub fn refresh(&mut self) -> Result<bool, HotRestartError> {
         let path = self.state_path();
-        let bytes = match bounded_file::read_bytes(&path, MOST_BYTES) {
+        let bytes = match bounded_file::read_bytes(&path, MAX_STATE_BYTES) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(false),
             Err(source) => return Err(HotRestartError::File { path, source }),
@@ -302,7 +302,7 @@
     /// and then nothing has changed.
     pub fn change(&mut self, make: impl FnOnce(&mut HotRestartState)) -> Result<Change, HotRestartError> {
         let path = self.base.with_extension("change");
-        let lock = lockable(&path).map_err(HotRestartError::file(&path))?;
+        let lock = open_lock_file(&path).map_err(HotRestartError::file(&path))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Ok(Change::Busy),
@@ -323,11 +323,11 @@
     /// This process takes clients, or does so no more.
     pub fn set_open(&mut self, open: bool) {
         self.open = open;
-        self.tell();
+        self.publish();
     }
 
     /// Tells the others which state this process heeds now.
-    pub fn tell(&mut self) {
+    pub fn publish(&mut self) {
         let text = format!("{} {}\n", if self.open { "open" } else { "closed" }, self.state.serial);
         // In one write over the old text, padded to a fixed length: a reader never finds half of one.
         let written = self
@@ -343,14 +343,14 @@
     pub fn others(&self) -> Vec<OtherProcess> {
         (0..SLOTS)
             .filter(|&slot| slot != self.slot)
-            .filter_map(|slot| other(&slot_path(&self.base, slot)))
+            .filter_map(|slot| read_slot(&slot_path(&self.base, slot)))
             .collect()
     }
 }
 
 /// The states in this folder that a proxy of this name and address has left which is not our own.
-fn foreign(folder: &Path, any: &str, own: &str) -> Vec<String> {
-    let files = std::fs::read_dir(folder).into_iter().flatten().flatten().take(MOST_FILES);
+fn states_of_other_deployments(folder: &Path, any: &str, own: &str) -> Vec<String> {
+    let files = std::fs::read_dir(folder).into_iter().flatten().flatten().take(MAX_SCANNED_FILES);
     let names = files.filter_map(|f| f.file_name().into_string().ok());
     let state = |name: &String| {
         name.strip_suffix(".state").is_some_and(|base| {
@@ -366,7 +366,7 @@
 }
 
 /// Who holds this slot, if anybody does.
-fn other(path: &Path) -> Option<OtherProcess> {
+fn read_slot(path: &Path) -> Option<OtherProcess> {
     let mut file = File::open(path).ok()?;
     // Shared, so that two who look at once do not take each other for the holder.
     match file.try_lock_shared() {
@@ -377,7 +377,7 @@
     Read::by_ref(&mut file).take(64).read_to_string(&mut text).ok()?;
     let mut words = text.split_whitespace();
     let open = words.next() == Some("open");
-    Some(OtherProcess { open, heeded: words.next().and_then(|w| w.parse().ok()).unwrap_or(0) })
+    Some(OtherProcess { open, state_serial: words.next().and_then(|w| w.parse().ok()).unwrap_or(0) })
 }
 
 #[cfg(test)]
--- a/proxy/src/state/hot_restart/tests.rs
+++ b/proxy/src/state/hot_restart/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("notchdoor-hot-restart-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -10,43 +10,43 @@
 }
 
 /// Makes a change that has to be written, and writes it.
-fn changed(hot_restart: &mut HotRestart, make: impl FnOnce(&mut HotRestartState)) {
-    let Ok(Change::Pending(begun)) = hot_restart.change(make) else { panic!("nothing to be written") };
-    hot_restart.state = begun.keep().unwrap();
+fn write_change(hot_restart: &mut HotRestart, make: impl FnOnce(&mut HotRestartState)) {
+    let Ok(Change::Pending(pending)) = hot_restart.change(make) else { panic!("nothing to be written") };
+    hot_restart.state = pending.write().unwrap();
 }
 
 fn join(folder: &Path) -> HotRestart {
-    let (joined, wrong) = HotRestart::join(folder, "n3", "127.0.0.1:6379", 1).unwrap();
-    assert!(wrong.is_none(), "{wrong:?}");
+    let (joined, state_error) = HotRestart::join(folder, "n3", "127.0.0.1:6379", 1).unwrap();
+    assert!(state_error.is_none(), "{state_error:?}");
     joined
 }
 
 #[test]
 fn two_processes_heed_one_state_and_know_of_each_other() {
-    let folder = folder("two");
+    let folder = empty_folder("two");
     let mut old = join(&folder);
     old.set_open(true);
     assert!(old.others().is_empty());
-    changed(&mut old, |s| assert!(s.drain("w1") && s.drain("w1")));
-    old.tell();
+    write_change(&mut old, |s| assert!(s.drain("w1") && s.drain("w1")));
+    old.publish();
     let mut new = join(&folder);
     assert_eq!((new.state.drained.as_slice(), new.state.serial), (["w1".to_owned()].as_slice(), 1));
-    assert_eq!(new.others(), [OtherProcess { open: true, heeded: 1 }]);
-    assert_eq!(old.others(), [OtherProcess { open: false, heeded: 1 }]);
+    assert_eq!(new.others(), [OtherProcess { open: true, state_serial: 1 }]);
+    assert_eq!(old.others(), [OtherProcess { open: false, state_serial: 1 }]);
     // The other's change is not lost by one of our own.
-    changed(&mut new, |s| assert!(s.drain("w2")));
-    changed(&mut old, |s| s.put_back("w1", UnixMicros(5_000), 1_000));
+    write_change(&mut new, |s| assert!(s.drain("w2")));
+    write_change(&mut old, |s| s.put_back("w1", UnixMicros(5_000), 1_000));
     assert_eq!(old.state.drained, ["w2"]);
     assert_eq!((new.refresh().unwrap(), &new.state), (true, &old.state));
     assert_eq!(new.state.put_back, [PutBack { backend: "w1".into(), at: UnixMicros(5_000) }]);
-    new.tell();
-    assert_eq!(old.others().first().map(|o| o.heeded), Some(3));
+    new.publish();
+    assert_eq!(old.others().first().map(|o| o.state_serial), Some(3));
     // Put back a second time it is no later; once warm it is forgotten.
-    for at in [5_500, 6_000, 5_999 + MOST_WALL_STEP] {
+    for at in [5_500, 6_000, 5_999 + MAX_WALL_CLOCK_STEP] {
         assert!(matches!(new.change(|s| s.put_back("w1", UnixMicros(at), 1_000)), Ok(Change::Unchanged)));
         assert_eq!(new.state.put_back.len(), 1, "the clock may have been set forward since");
     }
-    changed(&mut new, |s| s.put_back("w1", UnixMicros(6_000 + MOST_WALL_STEP), 1_000));
+    write_change(&mut new, |s| s.put_back("w1", UnixMicros(6_000 + MAX_WALL_CLOCK_STEP), 1_000));
     assert!(new.state.put_back.is_empty());
     drop(old);
     assert!(new.others().is_empty(), "a lock goes with its holder");
@@ -54,12 +54,12 @@
 
 #[test]
 fn a_state_of_no_use_is_told_and_nothing_is_out() {
-    let folder = folder("useless");
+    let folder = empty_folder("useless");
     let good =
         serde_json::to_string(&HotRestartState { drained: vec!["w".into()], ..HotRestartState::empty("n3") })
             .unwrap();
     let path = join(&folder).state_path();
-    let many: Vec<String> = (0..=MOST_DRAINED).map(|n| n.to_string()).collect();
+    let many: Vec<String> = (0..=MAX_DRAINED).map(|n| n.to_string()).collect();
     let cases = [
         (String::new(), "EOF"),
         (good[..good.len() - 2].to_owned(), "EOF"),
@@ -73,10 +73,13 @@
         ),
         ("[1]".to_owned(), "invalid"),
     ];
-    for (text, told) in cases {
+    for (text, expected) in cases {
         std::fs::write(&path, &text).unwrap();
-        let (joined, wrong) = HotRestart::join(&folder, "n3", "127.0.0.1:6379", 1).unwrap();
-        assert!(wrong.as_ref().is_some_and(|w| w.to_string().contains(told)), "{told}: {wrong:?}");
+        let (joined, state_error) = HotRestart::join(&folder, "n3", "127.0.0.1:6379", 1).unwrap();
+        assert!(
+            state_error.as_ref().is_some_and(|w| w.to_string().contains(expected)),
+            "{expected}: {state_error:?}"
+        );
         assert!(joined.state.drained.is_empty(), "{text}");
     }
     std::fs::write(&path, good).unwrap();
@@ -89,26 +92,26 @@
 
 #[test]
 fn a_process_killed_between_writing_and_renaming_leaves_the_old_state() {
-    let folder = folder("killed");
+    let folder = empty_folder("killed");
     let mut first = join(&folder);
-    changed(&mut first, |s| assert!(s.drain("w1")));
+    write_change(&mut first, |s| assert!(s.drain("w1")));
     std::fs::write(first.base.with_extension("new"), b"{\"format\":").unwrap();
     drop(first);
     let mut second = join(&folder);
     assert_eq!(second.state.drained, ["w1"]);
-    changed(&mut second, |s| assert!(s.drain("w2")));
+    write_change(&mut second, |s| assert!(s.drain("w2")));
     assert_eq!(join(&folder).state.drained, ["w1", "w2"]);
 }
 
 #[test]
 fn the_set_is_bounded_and_one_that_writes_keeps_the_others_out() {
-    let folder = folder("bounded");
+    let folder = empty_folder("bounded");
     let mut joined = join(&folder);
-    for n in 0..MOST_DRAINED {
+    for n in 0..MAX_DRAINED {
         assert!(joined.state.drain(&n.to_string()));
     }
     assert!(!joined.state.drain("one more") && joined.state.drain("7"));
-    let lock = lockable(&joined.base.with_extension("change")).unwrap();
+    let lock = open_lock_file(&joined.base.with_extension("change")).unwrap();
     lock.lock().unwrap();
     assert!(matches!(joined.change(|_| {}), Ok(Change::Busy)));
     drop(lock);
@@ -118,15 +121,15 @@
 /// A rename took 0.06 to 0.13 s on a busy disk, and every request of the proxy waited for it.
 #[test]
 fn a_change_is_begun_without_the_disk_and_keeps_others_out_until_it_is_written() {
-    let folder = folder("begun");
+    let folder = empty_folder("begun");
     let (mut one, mut other) = (join(&folder), join(&folder));
-    let Ok(Change::Pending(begun)) = one.change(|s| assert!(s.drain("w1"))) else { panic!("not begun") };
+    let Ok(Change::Pending(pending)) = one.change(|s| assert!(s.drain("w1"))) else { panic!("not begun") };
     assert!(!one.state_path().exists() && one.state.drained.is_empty(), "nothing is written or heeded yet");
     assert!(matches!(other.change(|s| s.put_back("w2", UnixMicros(1), 1)), Ok(Change::Busy)));
-    one.state = std::thread::spawn(|| begun.keep()).join().unwrap().unwrap();
+    one.state = std::thread::spawn(|| pending.write()).join().unwrap().unwrap();
     assert_eq!((other.refresh().unwrap(), &other.state), (true, &one.state));
     // One that is given up on the way changes nothing and keeps nobody out.
     drop(one.change(|s| assert!(s.drain("w2"))));
-    changed(&mut other, |s| assert!(s.drain("w3")));
+    write_change(&mut other, |s| assert!(s.drain("w3")));
     assert_eq!(join(&folder).state.drained, ["w1", "w3"]);
 }
--- a/proxy/src/state/pool/tests.rs
+++ b/proxy/src/state/pool/tests.rs
@@ -11,7 +11,7 @@
     for (now, c) in [(0, 'a'), (S, 'b'), (2 * S, 'c')] {
         pools.put(now, 1, generation, c);
     }
-    assert_eq!(pools.take(3 * S, 1), Some((2 * S + REST, 'c')));
+    assert_eq!(pools.take(3 * S, 1), Some((2 * S + REUSE_DELAY, 'c')));
     assert_eq!(pools.take(3 * S, 2), None);
     pools.sweep(27 * S, |_| true);
     assert_eq!(pools.idle(1), 1, "retired a tenth before the backend closes it");
@@ -37,12 +37,12 @@
 #[test]
 fn idle_connections_and_budgets_are_bounded() {
     let mut pools = Pools::new(30 * S);
-    let budget = Budget::new(MOST_IDLE + 1);
+    let budget = Budget::new(MAX_IDLE_CONNECTIONS + 1);
     let generation = pools.generation(1);
-    for now in 0..=MOST_IDLE as u64 {
+    for now in 0..=MAX_IDLE_CONNECTIONS as u64 {
         pools.put(now, 1, generation, budget.take());
     }
-    assert_eq!((pools.idle(1), budget.used()), (MOST_IDLE, MOST_IDLE));
+    assert_eq!((pools.idle(1), budget.used()), (MAX_IDLE_CONNECTIONS, MAX_IDLE_CONNECTIONS));
     let _last = budget.take();
     assert!(budget.take().is_none());
     assert!(pools.evict() && budget.take().is_some());
--- a/proxy/src/state/timers.rs
+++ b/proxy/src/state/timers.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// The most timers that are kept; the module sets a few for each request that it holds.
-const MOST: usize = 200_000;
+const MAX_TIMERS: usize = 200_000;
 
 /// One timer's place in the queue.
 pub type TimerKey = (Micros, u64);
@@ -13,16 +13,16 @@
 #[derive(Default)]
 pub struct Timers {
     queue: BTreeMap<TimerKey, u64>,
-    serial: u64,
+    next_serial: u64,
 }
 
 impl Timers {
     /// Sets a timer. `None` if the queue is full.
     pub fn set(&mut self, due: Micros, token: u64) -> Option<TimerKey> {
-        let key = (due, self.serial);
-        (self.queue.len() < MOST).then(|| {
+        let key = (due, self.next_serial);
+        (self.queue.len() < MAX_TIMERS).then(|| {
             self.queue.insert(key, token);
-            self.serial += 1;
+            self.next_serial += 1;
             key
         })
     }
--- a/proxy/src/state/versions.rs
+++ b/proxy/src/state/versions.rs
@@ -17,7 +17,7 @@
 pub struct VersionInForce {
     guard: BlockRules,
     /// What is acted on now, and since when.
-    now: Step,
+    current: Step,
     /// What comes, in order; the last is the guard.
     steps: Vec<Step>,
 }
@@ -25,7 +25,7 @@
 impl VersionInForce {
     /// Nothing is confirmed yet.
     pub fn new(guard: BlockRules, now: Micros) -> VersionInForce {
-        VersionInForce { guard, now: Step { from: now, on: None }, steps: Vec::new() }
+        VersionInForce { guard, current: Step { from: now, on: None }, steps: Vec::new() }
     }
 
     /// Takes another plan in the old one's place.
@@ -39,9 +39,9 @@
         let due = self.steps.partition_point(|s| s.from <= now);
         let Some(step) = self.steps.drain(..due).next_back() else { return false };
         let number = |s: &Step| s.on.as_ref().map(|v| v.number);
-        let changed = number(&step) != number(&self.now);
+        let changed = number(&step) != number(&self.current);
         if changed {
-            self.now = step;
+            self.current = step;
         }
         changed
     }
@@ -53,17 +53,17 @@
 
     /// What is acted on, and since when.
     pub fn acting(&self) -> &Step {
-        &self.now
+        &self.current
     }
 
     /// Until when that is confirmed.
     pub fn until(&self) -> Micros {
-        self.steps.last().map_or(self.now.from, |s| s.from)
+        self.steps.last().map_or(self.current.from, |s| s.from)
     }
 
     /// What is forbidden.
     pub fn rules(&self) -> &BlockRules {
-        self.now.on.as_ref().map_or(&self.guard, |v| &v.rules)
+        self.current.on.as_ref().map_or(&self.guard, |v| &v.rules)
     }
 
     /// Whether requests of this class, or for this key, are refused.
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -143,7 +143,7 @@
         match change {
             Ok(Change::Unchanged) => break,
             // The disk's time is no client's: it is waited for on a thread of its own.
-            Ok(Change::Pending(begun)) => match unblock(|| begun.keep()).await {
+            Ok(Change::Pending(begun)) => match unblock(|| begun.write()).await {
                 Ok(state) => {
                     if let Some(hot_restart) = runtime.hot_restart.borrow_mut().as_mut() {
                         hot_restart.state = state;
@@ -166,7 +166,7 @@
     }
     log::info!(backend; "operators: {backend} {what} by hand");
     let until = Instant::now() + HEEDING;
-    while runtime.others().iter().any(|other| other.heeded < serial) && Instant::now() < until {
+    while runtime.others().iter().any(|other| other.state_serial < serial) && Instant::now() < until {
         Timer::after(LOOK_AGAIN).await;
     }
     Reply::line(200, what)
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -36,7 +36,7 @@
         runtime.short.set(false);
         // A front may hold fewer connections than there is room for here: once its own room is full of those that stay it
         // cannot open another one, and its clients are rejected without a word from here.
-        if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
+        if runtime.client_budget.used() * 2 > runtime.client_budget.limit() {
             runtime.retire_some(None);
         }
         let free_since = runtime.clock.now();
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -73,7 +73,7 @@
         };
         self.drive(|proxy, now| proxy.set_drains(now, drains));
         if let Some(hot_restart) = self.hot_restart.borrow_mut().as_mut() {
-            hot_restart.tell();
+            hot_restart.publish();
         }
         state.serial
     }
@@ -127,7 +127,7 @@
         let mut lost = 0;
         loop {
             let in_time = Instant::now() < until;
-            let room = self.client_budget.used() < self.client_budget.most() + OVERDRAFT;
+            let room = self.client_budget.used() < self.client_budget.limit() + OVERDRAFT;
             if !room && in_time {
                 self.retire_some(Some(0));
                 Timer::after(READY_YET).await;
--- a/proxy/tests/clocks.rs
+++ b/proxy/tests/clocks.rs
@@ -3,7 +3,7 @@
 
 use notchdoor::{Micros, ServerId};
 use notchdoor_proxy::state::endpoints::{
-    server_id, AdministrativeDrains, EndpointList, Target, Update, MOST_WALL_STEP,
+    server_id, AdministrativeDrains, EndpointList, Target, Update, MAX_WALL_CLOCK_STEP,
 };
 use notchdoor_proxy::state::time::{ClockReading, UnixMicros};
 use notchdoor_settings::{DeploymentNames, Readiness};
@@ -246,7 +246,7 @@
     }
     // Longer ago than any step and a slow start: warm.
     let mut list = list(0);
-    let stamp = UnixMicros(DISCOVERY - MOST_WALL_STEP - SLOW_START);
+    let stamp = UnixMicros(DISCOVERY - MAX_WALL_CLOCK_STEP - SLOW_START);
     list.set_drains(BEGUN, put_back(stamp));
     let target = Target { boot_ms: 0.0, ..started("w", 0) };
     assert_eq!(list.told(BEGUN, update(1, true, vec![target])), [(server_id("w"), 0)]);
--- a/proxy/tests/hot_restart.rs
+++ b/proxy/tests/hot_restart.rs
@@ -50,7 +50,7 @@
     let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
         panic!("nothing to be written");
     };
-    change.keep().unwrap();
+    change.write().unwrap();
     let written = std::fs::read_to_string(folder.0.join(STORED_AS)).unwrap();
     let expected =
         STORED.replace("\"serial\":3", "\"serial\":4").replace("\"s-5be2a07c\"]", "\"s-5be2a07c\",\"w9\"]");
@@ -68,7 +68,7 @@
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
-        let problem = change.keep().expect_err("it says that it kept the change").to_string();
+        let problem = change.write().expect_err("it says that it kept the change").to_string();
         assert!(problem.contains(".new: "), "{problem}");
         assert_eq!(std::fs::read_to_string(folder.0.join(STORED_AS)).unwrap(), STORED, "{failing}");
         assert!(!joined.state.is_drained("w9"), "it is heeded though it was said to fail");
@@ -76,7 +76,7 @@
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
-        assert!(change.keep().unwrap().is_drained("w9"));
+        assert!(change.write().unwrap().is_drained("w9"));
         assert!(folder.join().state.is_drained("w9"));
     }
 }
