--- a/cli/tests/crossings.rs
+++ b/cli/tests/crossings.rs
@@ -367,7 +367,7 @@
     std::fs::write(&path, text.replace("\"acme\"", "\"other\"")).unwrap();
     let other = Proxy::again(&registry, std::sync::Arc::clone(&folder));
     assert_eq!(other.vars()["cache_nodes_excluded"], 0, "the other customer's worker is out here");
-    other.logged("is of another deployment and left alone");
+    other.logged("which belongs to another deployment");
     drop(other);
     assert_eq!(std::fs::read(folder.0.join(&left[0])).unwrap(), before);
     // The first one's own next process finds what it left.
--- a/proxy/src/state/boot_times.rs
+++ b/proxy/src/state/boot_times.rs
@@ -1,61 +1,63 @@
-//! When each backend last started, on this process's monotonic clock: what its slow start is counted from.
+//! Estimates when each backend last started, on this process's monotonic clock. Slow start is counted from that time.
 //!
-//! Discovery stamps a start with Unix time (`boot_ms`). Ours may differ from the clock that made the stamp: it was off
-//! when the process began, or was set between two starts. Both errors hurt: a backend that has just started passes for
-//! warm and is pushed over, or it lies in the future and is held back for an hour. So:
+//! Discovery reports a start as Unix time (`boot_ms`), by a clock that may differ from this machine's wall clock. An
+//! estimate that is too early skips the slow start of a cold backend; one that is too late holds a warm backend back.
+//! Therefore:
 //!
-//! - A start lies no later than the moment at which this process was first notified of it.
-//! - The starts told by changes while the list is watched give the offset between discovery's clock and ours: each was
-//!   told at once or later, so the least of (notified - stamp) is never too small, and an age that is reckoned with it
-//!   never too great. From the first such change on, a wall clock that is ahead makes no backend look older.
-//! - The wall clock may only make a backend younger than that, and by no more than one slow start: up to the moment of
-//!   its notification.
-//! - A fresh process that has seen nothing trusts its wall clock for the list that it starts with, and for what the
-//!   first watch has to catch up on: else each restart would put the whole fleet through slow start. Once a change
-//!   contradicts that clock, the ages of that first list are reckoned anew.
+//! - A start is never later than the moment at which this process was first notified of it.
+//! - Starts that are reported by updates give the offset between discovery's clock and the monotonic clock. Notifications
+//!   are never early, so the minimum of (notified - stamp) is never too small, and ages computed with it are never too
+//!   great. After the first such update, a wall clock that is ahead no longer makes backends look older.
+//! - The wall clock may still make a backend younger, but not younger than its notification.
+//! - A new process trusts its wall clock for the first list and for what the first watch catches up on. Otherwise each
+//!   restart would put the whole fleet through slow start. If an update later contradicts the wall clock, the starts of
+//!   the first list are corrected.
 
 use super::time::{ClockOffset, ClockReading, UnixMicros};
 use notchdoor::{Micros, ServerId};
 use std::collections::HashMap;
 
-/// A start is told within so long when nothing is wrong; only a wall clock that is further ahead counts as wrong for
-/// the backends of the first list, for a corrected start voids what is known of a backend.
+/// Usual upper bound of the delay between a start and its notification. The starts of the first list are corrected only
+/// if the wall clock is ahead by more, since a correction discards what is known of a backend.
 const MAX_NOTIFICATION_DELAY: Micros = 1_000_000;
 
-/// What is known of a backend's last start.
+/// The last start of a backend.
 struct Boot {
+    /// The start by discovery's clock.
     stamp: UnixMicros,
     notified_at: Micros,
     started_at: Micros,
-    /// Told by a change, not by the list that the process began with.
+    /// Whether an update reported it, rather than the first list.
     from_update: bool,
 }
 
-/// See the module.
+/// The estimated last start of each backend.
 pub struct BootTimes {
+    /// Offset of the monotonic clock from the wall clock when the process started.
     wall: ClockOffset,
-    /// The least offset that a change has shown.
+    /// The minimum offset of the monotonic clock from discovery's clock that updates have shown.
     min_offset: Option<ClockOffset>,
     slow_start: Micros,
-    /// Whether discovery has brought the list up to date since the process began.
+    /// Whether discovery has brought the list up to date since the process started.
     current: bool,
     boots: HashMap<ServerId, Boot>,
 }
 
 impl BootTimes {
-    /// Nothing is known yet but what the clocks showed at the start.
+    /// Creates an empty record. `start` is the reading of both clocks at the start of the process.
     pub fn new(start: ClockReading, slow_start: Micros) -> Self {
         let wall = start.offset();
         BootTimes { wall, min_offset: None, slow_start, current: false, boots: HashMap::new() }
     }
 
-    /// Discovery has been heard: a start that it tells from here on is new.
+    /// Marks the list as up to date. Starts that are reported from here on happened recently.
     pub fn set_current(&mut self) {
         self.current = true;
     }
 
-    /// Takes note of the starts that one update tells, before any of them is asked for. Backends of the first list
-    /// whose slow start this changes, with their starts.
+    /// Records the starts that an endpoint update reports; a stamp of 0 removes the record. Must be called before
+    /// [`BootTimes::started_at`] for these servers. Returns the backends of the first list whose start was corrected, with
+    /// the corrected start.
     pub fn record_starts(
         &mut self,
         now: Micros,
@@ -81,22 +83,23 @@
         self.correct_first_list(now)
     }
 
-    /// A backend's last start; 0 for long ago, or where none was told.
+    /// The last start of a backend; 0 if it was long ago or is unknown.
     pub fn started_at(&self, server: ServerId) -> Micros {
         self.boots.get(&server).map_or(0, |b| b.started_at)
     }
 
-    /// For how many backends a start is remembered: those that left, too, for one that returns is no newer.
+    /// The number of recorded starts. Backends that have left the list are included, since they may return without a
+    /// restart.
     pub fn len(&self) -> usize {
         self.boots.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no start is recorded.
     pub fn is_empty(&self) -> bool {
         self.boots.is_empty()
     }
 
-    /// Forgets the backends that are not to be kept.
+    /// Removes the records for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServerId) -> bool) {
         self.boots.retain(|server, _| keep(server));
     }
@@ -106,7 +109,8 @@
         offset.monotonic(stamp).min(notified)
     }
 
-    /// Where the wall clock has turned out to be ahead: the backends of the first list that are still in slow start.
+    /// Corrects the starts of the first list if the wall clock has turned out to be ahead. Returns the backends that are
+    /// therefore still in slow start.
     fn correct_first_list(&mut self, now: Micros) -> Vec<(ServerId, Micros)> {
         if self.min_offset.is_none_or(|offset| offset.exceeds_by(self.wall) <= MAX_NOTIFICATION_DELAY) {
             return Vec::new();
--- a/proxy/src/state/endpoints.rs
+++ b/proxy/src/state/endpoints.rs
@@ -1,4 +1,4 @@
-//! discovery's list: which backends there are, where, and under which number the module knows them.
+//! The endpoint list: the servers that discovery lists, their addresses and numbers, and administrative drains.
 
 use super::boot_times::BootTimes;
 use super::time::{ClockReading, UnixMicros};
@@ -9,44 +9,44 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The most backends that are kept, those that are gone included.
+/// Servers in the list; further ones are rejected.
 const MAX_BACKENDS: usize = 4096;
-/// The most backends whose last start is remembered, those that have left included.
+/// Backends whose last start is recorded. Beyond that, backends that have left are forgotten.
 const MAX_BOOT_TIMES: usize = 2 * MAX_BACKENDS;
-/// The longest name of a backend: it is kept, and stands in log lines.
+/// Longest name of a backend.
 const MAX_NAME_BYTES: usize = 256;
-/// Lines of one update that are told when they cannot be used; of more, the log has their number.
+/// Unusable targets that are logged individually for one update; of further ones only the number is logged.
 const MAX_LOGGED_TARGETS: usize = 4;
 
-/// One line of the list, as discovery writes it.
+/// One entry of the list, as discovery sends it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
-    /// The backend's name, the same at every proxy.
+    /// The server's name, the same at every proxy.
     pub uid: String,
-    /// Where this proxy reaches it.
+    /// The address at which this proxy reaches it.
     pub endpoint: String,
-    /// Its zone.
+    /// The name of its zone.
     #[serde(default)]
     pub az: String,
-    /// Its kind.
+    /// The name of its kind.
     #[serde(default)]
     pub model: String,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(default)]
     pub pod_group: u32,
-    /// Its state.
+    /// Its state in discovery.
     pub state: Readiness,
-    /// Its size beside the others'.
+    /// Its size relative to the other backends; 1 if not given.
     #[serde(default = "default_capacity")]
     pub capacity_hint: f64,
-    /// Its last start in Unix milliseconds; 0 for long ago.
+    /// Its last start in Unix milliseconds; 0 if it was long ago or is unknown.
     #[serde(default)]
     pub boot_ms: Millis,
 }
 
 impl Target {
-    /// Its last start by discovery's clock. Whole milliseconds come through without loss: a new start must never look
-    /// like the old one.
+    /// Its last start by discovery's clock. The conversion keeps whole milliseconds exactly, so that different starts never
+    /// look the same.
     fn boot(&self) -> UnixMicros {
         UnixMicros(notchdoor_settings::micros(self.boot_ms))
     }
@@ -56,32 +56,32 @@
     1.0
 }
 
-/// Why a line of the list cannot be used.
+/// Why a target is rejected.
 #[derive(Debug, Error)]
 enum UnusableTarget {
-    #[error("a backend's name of {0} bytes, {MAX_NAME_BYTES} at the most")]
+    #[error("backend name is too long: {0} bytes, at most {MAX_NAME_BYTES} are allowed")]
     NameTooLong(usize),
-    #[error("{uid} has no usable endpoint: {start:?}")]
+    #[error("backend {uid}: invalid endpoint address {start:?}")]
     NoEndpoint { uid: String, start: String },
-    #[error("{uid} and {other} share the number {server}")]
+    #[error("backend {uid} rejected: its number {server} is already used by {other}")]
     SharedNumber { uid: String, other: String, server: ServerId },
-    #[error("no room for {0}")]
+    #[error("backend {0} rejected: the list is full")]
     TooMany(String),
 }
 
-/// The whole list, or what has changed in it.
+/// An endpoint update: the whole list or changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Update {
     /// The list's version.
     pub rev: u64,
-    /// Whether it is the whole list.
+    /// Whether `targets` is the whole list.
     #[serde(default)]
     pub all: bool,
-    /// The lines.
+    /// The listed or changed servers.
     pub targets: Vec<Target>,
 }
 
-/// A backend or the origin, as the proxy reaches it.
+/// A server in the list: a backend or the origin.
 #[derive(Clone, Debug)]
 pub struct Backend {
     uid: String,
@@ -90,39 +90,39 @@
     /// Whether it is the origin, which speaks HTTP.
     pub origin: bool,
     boot: UnixMicros,
-    /// The list's line for the module, before operators' drains.
+    /// What discovery lists, without administrative drains.
     listed: Endpoint,
-    /// Whether it may be sent anything.
+    /// Whether it may be sent requests.
     pub serving: bool,
 }
 
 impl Backend {
-    /// Where it is and discovery's stamp of its start: a backend of which this has changed is another process.
+    /// Identifies the server's process by its address and its last start, as reported by discovery.
     pub fn process(&self) -> (SocketAddr, Micros) {
         (self.endpoint, self.boot.0)
     }
 }
 
-/// What an update comes to.
+/// The result of applying an update or a change of drains.
 #[derive(Debug, Default)]
 pub struct Applied {
-    /// The lines for the module.
+    /// The changed endpoints, with administrative drains applied.
     pub members: Vec<Endpoint>,
-    /// Whether they are the whole list.
+    /// Whether `members` is the whole list.
     pub all: bool,
-    /// Servers whose old connections are of no more use.
+    /// Servers whose existing connections must be closed.
     pub dropped: Vec<ServerId>,
 }
 
-/// The list held.
+/// The current endpoint list.
 pub struct EndpointList {
     names: DeploymentNames,
     origin_kind: Option<u32>,
     backends: HashMap<ServerId, Backend>,
-    /// Backends drained by operators, by name, whether they are listed or not.
+    /// Names of backends under an administrative drain, listed or not.
     drained: BTreeSet<String>,
-    /// Those put back lately: they are taken for started when this process learnt of it, unless the list names a later
-    /// start. A backend that was restarted meanwhile must not get a full share: discovery tells of it seconds late.
+    /// Backends whose drain was lifted recently. They go through slow start from that moment, unless discovery reports a
+    /// later start: the backend may have been restarted meanwhile, and discovery reports that seconds late.
     put_back: BTreeMap<String, PutBack>,
     start: ClockReading,
     slow_start: Micros,
@@ -130,36 +130,36 @@
     rev: u64,
 }
 
-/// Backends that operators have drained, and those that they have put back lately.
+/// Backends under an administrative drain, and those whose drain was lifted recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdministrativeDrains {
-    /// Drained, by name, whether they are listed or not.
+    /// Names of drained backends, listed or not.
     pub drained: BTreeSet<String>,
-    /// Put back, by name, with the stamp of whoever did it.
+    /// For each backend whose drain was lifted, the time of that by the clock of the process that did it.
     pub put_back: BTreeMap<String, UnixMicros>,
 }
 
-/// A backend that was put back.
+/// A backend whose drain was lifted.
 #[derive(Clone, Copy)]
 struct PutBack {
-    /// The stamp of whoever put it back: it tells one time from another, and no more.
+    /// The time by the clock of the process that lifted the drain. Only compared for equality.
     stamp: UnixMicros,
-    /// When this process learnt of it.
+    /// When this process noticed it.
     noticed_at: Micros,
 }
 
-/// The wall clock may be set by so much between two processes. A backend that was put back longer ago than this and its
-/// slow start is warm, whatever the clock says; any other counts as put back when the process learns of it.
+/// Largest step of the wall clock that is tolerated between two processes. A backend whose drain was lifted longer ago
+/// than this plus its slow start is warm; any other starts its slow start when the process learns of it.
 pub const MAX_WALL_CLOCK_STEP: Micros = 3_600_000_000;
 
-/// A backend's number: pinned, so that it is the same at every proxy and after every restart.
+/// The number of a server, a hash of its name. It is the same at every proxy and after every restart.
 pub fn server_id(uid: &str) -> ServerId {
     let hash = notchdoor::key_hash(uid.as_bytes());
     (hash ^ (hash >> 32)) as ServerId
 }
 
 impl EndpointList {
-    /// An empty list.
+    /// Creates an empty list. `start` is the reading of both clocks at the start of the process.
     pub fn new(
         names: DeploymentNames,
         origin_kind: Option<u32>,
@@ -179,48 +179,48 @@
         }
     }
 
-    /// Discovery has been heard: what the list holds is up to date, and a start told from here on is news.
+    /// Marks the list as up to date. Starts that discovery reports from here on happened recently.
     pub fn set_current(&mut self) {
         self.boot_times.set_current();
     }
 
-    /// The version held, from which a watch goes on.
+    /// The version of the list, from which a watch continues.
     pub fn rev(&self) -> u64 {
         self.rev
     }
 
-    /// The backend of this number.
+    /// The server with this number.
     pub fn backend(&self, server: ServerId) -> Option<&Backend> {
         self.backends.get(&server)
     }
 
-    /// All backends that serve, with their numbers.
+    /// All servers that may be sent requests, with their numbers.
     pub fn serving(&self) -> impl Iterator<Item = (ServerId, &Backend)> {
         self.backends.iter().filter(|(_, w)| w.serving).map(|(&id, w)| (id, w))
     }
 
-    /// The caches in the list; the origin is none.
+    /// All listed backends, without the origin.
     pub fn caches(&self) -> impl Iterator<Item = (ServerId, &Backend)> {
         self.backends.iter().filter(|(_, w)| !w.origin).map(|(&id, w)| (id, w))
     }
 
-    /// Whether the list has a cache in service, drained by operators or not.
+    /// Whether discovery lists a backend in service, drained by operators or not.
     pub fn lists_any(&self) -> bool {
         self.caches().any(|(_, w)| w.listed.state == ServerState::Serving)
     }
 
-    /// Whether operators have drained this backend.
+    /// Whether the backend is under an administrative drain.
     pub fn is_drained(&self, backend: &Backend) -> bool {
         self.drained.contains(&backend.uid)
     }
 
-    /// Whether a cache of this name can be taken out or put back: it is listed, or it is out.
+    /// Whether a backend of this name can be drained or put back: it is listed or drained.
     pub fn knows(&self, uid: &str) -> bool {
         self.drained.contains(uid)
             || self.backends.get(&server_id(uid)).is_some_and(|w| w.uid == uid && !w.origin)
     }
 
-    /// Drains these backends and no others, whatever discovery says.
+    /// Replaces the set of administrative drains.
     pub fn set_drains(&mut self, now: Micros, drains: AdministrativeDrains) -> Applied {
         let put_back = drains
             .put_back
@@ -244,7 +244,7 @@
         applied
     }
 
-    /// What a stamp in the hot-restart file comes to; `None` for a backend that is warm by now.
+    /// Interprets a record of the hot-restart file; `None` if the backend is warm by now.
     fn put_back(&self, now: Micros, uid: &str, stamp: UnixMicros) -> Option<PutBack> {
         let known = self.put_back.get(uid).filter(|known| known.stamp == stamp);
         let noticed_at = known.map_or(now, |known| known.noticed_at);
@@ -253,7 +253,7 @@
         (known.is_some() || !warm).then_some(PutBack { stamp, noticed_at })
     }
 
-    /// Takes a list or changes. `None` for changes older than what is held.
+    /// Applies an endpoint update. `None` for changes that are older than the list.
     pub fn apply(&mut self, now: Micros, update: Update) -> Option<Applied> {
         if !update.all && update.rev < self.rev {
             return None;
@@ -269,7 +269,7 @@
                     named.insert(member.server);
                     applied.members.push(member);
                 }
-                // One bad list, sent over and over, would fill the log.
+                // Limited, so that an invalid list that is sent repeatedly does not flood the log.
                 Err(error) => {
                     unusable += 1;
                     if unusable <= MAX_LOGGED_TARGETS {
@@ -279,7 +279,7 @@
             }
         }
         if unusable > MAX_LOGGED_TARGETS {
-            log::error!(unusable; "discovery: {unusable} lines of version {} cannot be used", self.rev);
+            log::error!(unusable; "discovery: {unusable} targets of list version {} were rejected", self.rev);
         }
         if update.all {
             for (id, backend) in &self.backends {
@@ -297,7 +297,7 @@
         Some(applied)
     }
 
-    /// Tells other starts of backends that this update did not name.
+    /// Adds the endpoints with corrected starts that the update itself did not contain.
     fn apply_corrected_starts(
         &mut self,
         corrected: &[(ServerId, Micros)],
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Takes up one line; the error says why it cannot be used.
+    /// Applies one target. Adds its server to `dropped` if its connections must be closed.
     fn apply_target(
         &mut self,
         target: Target,
@@ -331,7 +331,7 @@
             let start: String = target.endpoint.chars().take(MAX_NAME_BYTES).collect();
             return Err(UnusableTarget::NoEndpoint { uid: target.uid, start });
         };
-        // The router would take the two for one.
+        // The router identifies servers by number only.
         if let Some(other) = self.backends.get(&server).filter(|w| w.uid != target.uid) {
             return Err(UnusableTarget::SharedNumber { uid: target.uid, other: other.uid.clone(), server });
         }
@@ -366,7 +366,7 @@
     }
 }
 
-/// What the module is told of a backend: the stricter of the list's line and operators' drains.
+/// The endpoint as listed, with administrative drains applied.
 fn with_drains(
     drained: &BTreeSet<String>,
     put_back: &BTreeMap<String, PutBack>,
--- a/proxy/src/state/endpoints/tests.rs
+++ b/proxy/src/state/endpoints/tests.rs
@@ -1,8 +1,8 @@
-//! Private parts of the endpoint list: its numbers and its bounds.
+//! Tests of the endpoint list: order of updates, server numbers and limits.
 
 use super::*;
 
-/// Both clocks agree: what discovery stamps is what the monotonic clock shows.
+/// The wall clock and the monotonic clock show the same time.
 const NOW: Micros = 1_800_000_000_000_000;
 const START: ClockReading = ClockReading { monotonic: NOW, wall: UnixMicros(NOW) };
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn lists_and_changes_apply_in_order() {
+fn updates_apply_in_order_and_older_changes_are_ignored() {
     use Readiness::{InService, Terminating};
     let mut endpoints = endpoints();
     let (w, o) = (server_id("w"), server_id("o"));
@@ -40,7 +40,7 @@
     assert!(applied.all && applied.members.len() == 2 && applied.dropped.is_empty());
     assert!(endpoints.backend(o).unwrap().origin && !endpoints.backend(w).unwrap().origin);
     assert!(endpoints.apply(NOW, update(4, false, &[("w", 1, Terminating, 0.0)])).is_none(), "older");
-    // Each change that makes the old connections useless says so.
+    // A new address, a new start and a drain each require the connections to be closed.
     for (rev, line, dropped) in [
         (6, ("w", 1, InService, 0.0), vec![]),
         (7, ("w", 9, InService, 0.0), vec![w]),
@@ -54,15 +54,14 @@
     }
     let applied = endpoints.apply(NOW, update(2, true, &[("o", 2, InService, 0.0)])).unwrap();
     assert_eq!(applied.members.len(), 1);
-    assert!(endpoints.backend(w).is_none(), "a whole list that lacks a backend ends it");
+    assert!(endpoints.backend(w).is_none(), "a whole list removes backends that it lacks");
     let applied = endpoints.apply(NOW, update(3, false, &[("o", 2, Readiness::Terminated, 0.0)])).unwrap();
     assert_eq!((applied.members[0].state, applied.dropped), (ServerState::Gone, vec![o]));
-    assert!(endpoints.backend(o).is_none(), "what is gone leaves nothing behind");
+    assert!(endpoints.backend(o).is_none(), "a terminated server is removed");
 }
 
-/// Findings 16 and 17: one list could fill the log, and one name be a megabyte of it.
 #[test]
-fn a_list_of_any_size_is_taken_up_and_what_cannot_be_used_is_left_out() {
+fn an_oversized_list_is_cut_at_the_limit_and_invalid_targets_are_skipped() {
     let mut endpoints = endpoints();
     let names: Vec<String> = (0..2 * MAX_BACKENDS).map(|n| format!("w{n}")).collect();
     let lines: Vec<_> = names.iter().map(|n| (n.as_str(), 1, Readiness::InService, 0.0)).collect();
@@ -78,11 +77,11 @@
 }
 
 #[test]
-fn numbers_are_pinned_and_a_shared_one_is_left_out() {
+fn server_numbers_are_stable_and_a_target_with_a_used_number_is_skipped() {
     assert_eq!(server_id("s-5be2a07c"), 1_361_338_235);
     let mut endpoints = endpoints();
     endpoints.apply(NOW, update(1, true, &[("w", 1, Readiness::InService, 0.0)]));
-    // A collision, made by hand: two names that hash alike are too rare to find.
+    // Simulates a hash collision by renaming the backend.
     let held = endpoints.backends.get_mut(&server_id("w")).unwrap();
     held.uid = "other".into();
     let applied = endpoints.apply(NOW, update(2, false, &[("w", 7, Readiness::InService, 0.0)])).unwrap();
--- a/proxy/src/state/hot_restart.rs
+++ b/proxy/src/state/hot_restart.rs
@@ -1,9 +1,8 @@
-//! What outlives a process, and how two processes of one proxy know of each other: a few small files in one folder,
-//! under the proxy's name, its address and its deployment: on a machine of two customers, each may have a proxy of the
-//! same name and address.
+//! State that outlives a process, and how the processes of one proxy find each other during a hot restart.
 //!
-//! The state file is replaced by rename, so that a process that dies on the way leaves the old one. A lock on one of
-//! the slots tells that its holder lives: it goes with the process, however that ends.
+//! Both use small files in one directory. Their names contain the proxy's name, its address and its deployment, so that
+//! proxies of several deployments can share a machine. The state file is replaced by rename, so that a crash leaves the
+//! old one. Each process holds a lock on a slot file, which the system releases when the process ends.
 
 use super::endpoints::MAX_WALL_CLOCK_STEP;
 use super::time::UnixMicros;
@@ -15,10 +14,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why there is no hot restart, or why a state cannot be read or kept.
+/// An error of joining a hot restart, or of reading or writing its state.
 #[derive(Debug, Error)]
 pub enum HotRestartError {
-    /// One of its files cannot be opened, read, written or locked.
+    /// A file cannot be opened, read, written or locked.
     #[error("{path}: {source}")]
     File {
         /// The file.
@@ -26,7 +25,7 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The state file is of no use.
+    /// The state file has invalid contents.
     #[error("{path}: {source}")]
     Unusable {
         /// The file.
@@ -34,14 +33,14 @@
         /// Why.
         source: UnusableState,
     },
-    /// More processes of one proxy live than there are slots.
-    #[error("{base}: more than {SLOTS} processes")]
+    /// All slots are locked by other processes of this proxy.
+    #[error("{base}: {SLOTS} processes of this proxy are already running")]
     TooManyProcesses {
-        /// What their files' names begin with.
+        /// The common prefix of the file names.
         base: PathBuf,
     },
-    /// This process has no part in the hot restart.
-    #[error("there is no hot restart")]
+    /// This process did not join a hot restart.
+    #[error("hot restart is not available")]
     Absent,
 }
 
@@ -51,70 +50,70 @@
     }
 }
 
-/// Why the bytes of a state file are of no use.
+/// Why the contents of a state file are rejected.
 #[derive(Debug, Error)]
 pub enum UnusableState {
-    /// They are no JSON, or another object.
+    /// Not a JSON object of the expected fields.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// Another format, or another version of it.
-    #[error("format {format:.40} version {version} is not ours")]
+    /// Another format, or another version of the format.
+    #[error("unsupported format {format:.40} version {version}")]
     OtherFormat {
-        /// Its name.
+        /// The name of the format.
         format: String,
-        /// Its version.
+        /// The version of the format.
         version: u32,
     },
-    /// Another proxy's.
-    #[error("it is of a proxy named {0:.80}")]
+    /// The state of another proxy.
+    #[error("state belongs to a proxy named {0:.80}")]
     OtherProxy(String),
-    /// More backends than operators can drain.
-    #[error("too many workers")]
+    /// More backends than can be drained.
+    #[error("too many backends, at most {MAX_DRAINED} are allowed")]
     TooManyBackends,
 }
 
-/// The format and its version; a file of another one is not ours.
+/// The format of the state file. Files of another format or version are rejected.
 const FORMAT: &str = "notchdoor-handover";
 const VERSION: u32 = 1;
-/// Processes of one proxy that can know of each other: two of an upgrade, and one more that is still leaving.
+/// Processes of one proxy that can run at a time: two during a hot restart, and earlier ones that are still draining.
 const SLOTS: usize = 4;
-/// The largest file that is read.
+/// Largest state file that is read.
 const MAX_STATE_BYTES: u64 = 256 * 1024;
-/// So many files of the folder are looked at.
+/// Directory entries that are searched for states of other deployments.
 const MAX_SCANNED_FILES: usize = 4096;
-/// The most backends that operators can drain.
+/// Backends that can be under an administrative drain at a time.
 pub const MAX_DRAINED: usize = 256;
 
-/// A backend that was put back lately.
+/// A backend whose administrative drain was lifted recently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutBack {
-    /// Its name. The key is that of files which earlier versions wrote.
+    /// The backend's name.
     #[serde(rename = "worker")]
     pub backend: String,
-    /// When, by the wall clock of the process that put it back. Another process, or this machine after its clock was
-    /// set, cannot tell an age from it: it only tells one time that a backend was put back from another.
+    /// The time by the wall clock of the process that lifted the drain. Clocks may differ or be set, so other processes
+    /// cannot derive a precise age from it.
     pub at: UnixMicros,
 }
 
-/// What outlives a process.
+/// The contents of the state file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HotRestartState {
     format: String,
     version: u32,
     name: String,
-    /// Goes up with every change.
+    /// Incremented by every change.
     pub serial: u64,
-    /// Backends that operators have drained.
+    /// Names of backends under an administrative drain.
     #[serde(rename = "out")]
     pub drained: Vec<String>,
-    /// Those put back so lately that they may not be warm yet.
+    /// Backends whose drain was lifted so recently that they may not be warm yet.
     #[serde(rename = "back")]
     pub put_back: Vec<PutBack>,
 }
 
 impl HotRestartState {
-    /// Nothing is out.
+    /// A state without drains.
     pub fn empty(name: &str) -> Self {
         HotRestartState {
             format: FORMAT.to_owned(),
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Takes a file's bytes; the error says why they are of no use.
+    /// Parses the state file of the proxy named `name`.
     fn parse(bytes: &[u8], name: &str) -> Result<Self, UnusableState> {
         let state: HotRestartState = serde_json::from_slice(bytes)?;
         if state.format != FORMAT || state.version != VERSION {
@@ -141,12 +140,12 @@
         Ok(state)
     }
 
-    /// Whether operators have drained this backend.
+    /// Whether the backend is under an administrative drain.
     pub fn is_drained(&self, backend: &str) -> bool {
         self.drained.iter().any(|w| w == backend)
     }
 
-    /// Drains a backend. False if there is no room for another.
+    /// Drains a backend. Returns false if `MAX_DRAINED` others are drained already.
     pub fn drain(&mut self, backend: &str) -> bool {
         if self.is_drained(backend) {
             return true;
@@ -159,8 +158,8 @@
         true
     }
 
-    /// Puts a backend back; those that are warm by now are forgotten. A clock that was set forward a moment ago makes one
-    /// look so that is not: it is kept for as long as a step can be.
+    /// Lifts the drain of a backend, and forgets records of backends that are warm by now. `cold` is the duration of slow
+    /// start. Records are kept for `MAX_WALL_CLOCK_STEP` longer, since the clock may have been set forward.
     pub fn put_back(&mut self, backend: &str, now: UnixMicros, cold: Micros) {
         let warm_after = cold.saturating_add(MAX_WALL_CLOCK_STEP);
         self.put_back.retain(|b| b.at.0.saturating_add(warm_after) > now.0);
@@ -174,58 +173,56 @@
     }
 }
 
-/// What another process of this proxy says of itself.
+/// The published status of another process of this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OtherProcess {
-    /// It takes clients.
+    /// Whether it accepts clients.
     pub open: bool,
-    /// The latest change of the state that it heeds.
+    /// The serial number of the state that it has applied.
     pub state_serial: u64,
 }
 
-/// This process's part in the hot restart.
+/// This process's access to the shared state and to the status of the other processes.
 pub struct HotRestart {
     name: String,
     base: PathBuf,
     slot: usize,
     lock: File,
     open: bool,
-    /// The state that this process heeds.
+    /// The state that this process has applied.
     pub state: HotRestartState,
 }
 
-/// Whether a change of the state may be made now.
+/// The result of beginning a change of the state.
 pub enum Change {
-    /// All that it asks for is so already.
+    /// The state already is as requested.
     Unchanged,
-    /// It has to be written first; nobody else makes one until then.
+    /// The change has to be written. Other processes cannot begin one until then.
     Pending(PendingChange),
-    /// Another process is making one: try again in a moment.
+    /// Another process is writing a change; try again shortly.
     Busy,
 }
 
-/// A change on its way to the disk.
+/// A change that has yet to be written. Dropping it abandons the change.
 pub struct PendingChange {
     next: HotRestartState,
     path: PathBuf,
     new: PathBuf,
-    /// Keeps others from making one.
+    /// Prevents changes by other processes.
     _lock: File,
 }
 
 impl PendingChange {
-    /// Writes it; the state to be heeded from then on. The error says why it could not be kept, and then nothing has
-    /// changed: the file that is there is replaced only by one that is whole on the disk. It may block for as long as the
-    /// disk does, so it needs nothing of the process, and no request waits for it meanwhile: a rename over a file takes a
-    /// tenth of a second where the disk is busy.
+    /// Writes the change to the disk and returns the new state. On an error the old state file is unchanged.
+    ///
+    /// Blocks on the disk, so it must not run on the thread that serves requests.
     pub fn write(self) -> Result<HotRestartState, HotRestartError> {
         let text = serde_json::to_vec(&self.next).map_err(std::io::Error::from);
         let result = text
             .and_then(|text| write_and_sync(&self.new, &text))
             .and_then(|()| std::fs::rename(&self.new, &self.path));
         if let Err(source) = result {
-            // Half a file is of no use, and takes room on a full disk. Left where it cannot be removed, it is written
-            // over by the next change.
+            // An incomplete file would take space on a full disk. If it cannot be removed, the next change overwrites it.
             let _ = std::fs::remove_file(&self.new);
             return Err(HotRestartError::File { path: self.new, source });
         }
@@ -233,7 +230,7 @@
     }
 }
 
-/// Writes a file and has the disk take it: an error that the system notices only then is no success.
+/// Writes and syncs a file, so that delayed write errors are reported.
 fn write_and_sync(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut file = File::create(path)?;
     file.write_all(bytes)?;
@@ -245,9 +242,10 @@
 }
 
 impl HotRestart {
-    /// Takes a slot in this folder and the state that is there. What another deployment has left there is left alone. The
-    /// error says why there is no hot restart; what is
-    /// A problem of the state alone is returned in the second place, and then nothing is out.
+    /// Locks a free slot in this directory and reads the state file. States of other deployments are ignored.
+    ///
+    /// The error says why there is no hot restart. A problem with the state file alone is returned beside the result, which
+    /// then has no drains.
     pub fn join(
         folder: &Path,
         name: &str,
@@ -258,7 +256,7 @@
         let file: String = format!("{name:.64}-{address}").chars().map(plain).collect();
         let (any, own) = (format!("notchdoor-{file}"), format!("notchdoor-{file}-{deployment:016x}"));
         for ignored in states_of_other_deployments(folder, &any, &own) {
-            log::warn!("hot restart: {ignored} is of another deployment and left alone");
+            log::warn!("hot restart: ignoring {ignored}, which belongs to another deployment");
         }
         let base = folder.join(own);
         for slot in 0..SLOTS {
@@ -282,8 +280,7 @@
         self.base.with_extension("state")
     }
 
-    /// Reads the state again. True if it has changed; the error says why the file is of no use, and then what was
-    /// held stays.
+    /// Reads the state file again. Returns whether the state has changed. On an error the current state is kept.
     pub fn refresh(&mut self) -> Result<bool, HotRestartError> {
         let path = self.state_path();
         let bytes = match bounded_file::read_bytes(&path, MAX_STATE_BYTES) {
@@ -298,8 +295,8 @@
         Ok(changed)
     }
 
-    /// Begins a change of the state, unless another process is making one. The error says why it cannot be kept,
-    /// and then nothing has changed.
+    /// Begins a change of the state, unless another process is writing one. Nothing is changed until the returned
+    /// [`PendingChange`] is written.
     pub fn change(&mut self, make: impl FnOnce(&mut HotRestartState)) -> Result<Change, HotRestartError> {
         let path = self.base.with_extension("change");
         let lock = open_lock_file(&path).map_err(HotRestartError::file(&path))?;
@@ -308,7 +305,7 @@
             Err(TryLockError::WouldBlock) => return Ok(Change::Busy),
             Err(TryLockError::Error(source)) => return Err(HotRestartError::File { path, source }),
         }
-        // What the other process has changed counts; a file of no use is written anew.
+        // Includes changes by other processes. An invalid file is replaced, so its error is ignored.
         let _ = self.refresh();
         let mut next = self.state.clone();
         make(&mut next);
@@ -320,26 +317,26 @@
         Ok(Change::Pending(PendingChange { next, path: self.state_path(), new, _lock: lock }))
     }
 
-    /// This process takes clients, or does so no more.
+    /// Publishes whether this process accepts clients.
     pub fn set_open(&mut self, open: bool) {
         self.open = open;
         self.publish();
     }
 
-    /// Tells the others which state this process heeds now.
+    /// Publishes this process's status and the serial number of its state to the other processes.
     pub fn publish(&mut self) {
         let text = format!("{} {}\n", if self.open { "open" } else { "closed" }, self.state.serial);
-        // In one write over the old text, padded to a fixed length: a reader never finds half of one.
+        // A single write of a fixed length, so that readers never see a partial status.
         let written = self
             .lock
             .seek(SeekFrom::Start(0))
             .and_then(|_| self.lock.write_all(format!("{text:<40}").as_bytes()));
         if let Err(error) = written {
-            log::warn!("hot restart: cannot tell the other process: {error}");
+            log::warn!("hot restart: cannot publish the status of this process: {error}");
         }
     }
 
-    /// The other processes of this proxy that live.
+    /// The status of the other running processes of this proxy.
     pub fn others(&self) -> Vec<OtherProcess> {
         (0..SLOTS)
             .filter(|&slot| slot != self.slot)
@@ -348,7 +345,7 @@
     }
 }
 
-/// The states in this folder that a proxy of this name and address has left which is not our own.
+/// The state files in this directory that belong to a proxy of the same name and address in another deployment.
 fn states_of_other_deployments(folder: &Path, any: &str, own: &str) -> Vec<String> {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten().take(MAX_SCANNED_FILES);
     let names = files.filter_map(|f| f.file_name().into_string().ok());
@@ -365,10 +362,10 @@
     base.with_extension(format!("{slot}.slot"))
 }
 
-/// Who holds this slot, if anybody does.
+/// The status of the process that holds the lock of this slot, if any.
 fn read_slot(path: &Path) -> Option<OtherProcess> {
     let mut file = File::open(path).ok()?;
-    // Shared, so that two who look at once do not take each other for the holder.
+    // A shared lock, so that two concurrent readers do not mistake each other for the owner.
     match file.try_lock_shared() {
         Err(TryLockError::WouldBlock) => {}
         _ => return None,
--- a/proxy/src/state/hot_restart/tests.rs
+++ b/proxy/src/state/hot_restart/tests.rs
@@ -1,4 +1,4 @@
-//! Private parts of the hot restart: its files, its bounds and its locks.
+//! Tests of the hot restart: its files, limits and locks.
 
 use super::*;
 
@@ -9,9 +9,9 @@
     folder
 }
 
-/// Makes a change that has to be written, and writes it.
+/// Makes a change that alters the state, and writes it.
 fn write_change(hot_restart: &mut HotRestart, make: impl FnOnce(&mut HotRestartState)) {
-    let Ok(Change::Pending(pending)) = hot_restart.change(make) else { panic!("nothing to be written") };
+    let Ok(Change::Pending(pending)) = hot_restart.change(make) else { panic!("no change is pending") };
     hot_restart.state = pending.write().unwrap();
 }
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn two_processes_heed_one_state_and_know_of_each_other() {
+fn two_processes_share_the_state_and_see_each_others_status() {
     let folder = empty_folder("two");
     let mut old = join(&folder);
     old.set_open(true);
@@ -33,7 +33,7 @@
     assert_eq!((new.state.drained.as_slice(), new.state.serial), (["w1".to_owned()].as_slice(), 1));
     assert_eq!(new.others(), [OtherProcess { open: true, state_serial: 1 }]);
     assert_eq!(old.others(), [OtherProcess { open: false, state_serial: 1 }]);
-    // The other's change is not lost by one of our own.
+    // A change by one process keeps the changes by the other.
     write_change(&mut new, |s| assert!(s.drain("w2")));
     write_change(&mut old, |s| s.put_back("w1", UnixMicros(5_000), 1_000));
     assert_eq!(old.state.drained, ["w2"]);
@@ -41,19 +41,19 @@
     assert_eq!(new.state.put_back, [PutBack { backend: "w1".into(), at: UnixMicros(5_000) }]);
     new.publish();
     assert_eq!(old.others().first().map(|o| o.state_serial), Some(3));
-    // Put back a second time it is no later; once warm it is forgotten.
+    // Putting it back again does not change its time. Its record is removed once it is warm.
     for at in [5_500, 6_000, 5_999 + MAX_WALL_CLOCK_STEP] {
         assert!(matches!(new.change(|s| s.put_back("w1", UnixMicros(at), 1_000)), Ok(Change::Unchanged)));
-        assert_eq!(new.state.put_back.len(), 1, "the clock may have been set forward since");
+        assert_eq!(new.state.put_back.len(), 1, "kept, since the clock may have been set forward");
     }
     write_change(&mut new, |s| s.put_back("w1", UnixMicros(6_000 + MAX_WALL_CLOCK_STEP), 1_000));
     assert!(new.state.put_back.is_empty());
     drop(old);
-    assert!(new.others().is_empty(), "a lock goes with its holder");
+    assert!(new.others().is_empty(), "the lock ends with its process");
 }
 
 #[test]
-fn a_state_of_no_use_is_told_and_nothing_is_out() {
+fn an_invalid_state_file_is_reported_and_drains_nothing() {
     let folder = empty_folder("useless");
     let good =
         serde_json::to_string(&HotRestartState { drained: vec!["w".into()], ..HotRestartState::empty("n3") })
@@ -63,8 +63,8 @@
     let cases = [
         (String::new(), "EOF"),
         (good[..good.len() - 2].to_owned(), "EOF"),
-        (good.replace("\"version\":1", "\"version\":2"), "is not ours"),
-        (good.replace(FORMAT, "elsewhere"), "is not ours"),
+        (good.replace("\"version\":1", "\"version\":2"), "unsupported format"),
+        (good.replace(FORMAT, "elsewhere"), "unsupported format"),
         (good.replace("n3", "n4"), "proxy named n4"),
         (
             serde_json::to_string(&HotRestartState { drained: many, ..HotRestartState::empty("n3") })
@@ -84,14 +84,11 @@
     }
     std::fs::write(&path, good).unwrap();
     assert_eq!(join(&folder).state.drained, ["w"]);
-    assert!(
-        HotRestart::join(&folder.join("nowhere"), "n3", "a", 1).is_err(),
-        "a folder that cannot be written"
-    );
+    assert!(HotRestart::join(&folder.join("nowhere"), "n3", "a", 1).is_err(), "the directory does not exist");
 }
 
 #[test]
-fn a_process_killed_between_writing_and_renaming_leaves_the_old_state() {
+fn a_process_killed_before_the_rename_leaves_the_old_state() {
     let folder = empty_folder("killed");
     let mut first = join(&folder);
     write_change(&mut first, |s| assert!(s.drain("w1")));
@@ -104,7 +101,7 @@
 }
 
 #[test]
-fn the_set_is_bounded_and_one_that_writes_keeps_the_others_out() {
+fn drains_are_limited_and_a_locked_change_file_makes_changes_busy() {
     let folder = empty_folder("bounded");
     let mut joined = join(&folder);
     for n in 0..MAX_DRAINED {
@@ -118,17 +115,18 @@
     assert!(matches!(joined.change(|_| {}), Ok(Change::Unchanged)));
 }
 
-/// A rename took 0.06 to 0.13 s on a busy disk, and every request of the proxy waited for it.
 #[test]
-fn a_change_is_begun_without_the_disk_and_keeps_others_out_until_it_is_written() {
+fn a_pending_change_is_not_yet_on_disk_and_blocks_other_processes_until_written() {
     let folder = empty_folder("begun");
     let (mut one, mut other) = (join(&folder), join(&folder));
-    let Ok(Change::Pending(pending)) = one.change(|s| assert!(s.drain("w1"))) else { panic!("not begun") };
-    assert!(!one.state_path().exists() && one.state.drained.is_empty(), "nothing is written or heeded yet");
+    let Ok(Change::Pending(pending)) = one.change(|s| assert!(s.drain("w1"))) else {
+        panic!("no change is pending")
+    };
+    assert!(!one.state_path().exists() && one.state.drained.is_empty(), "nothing is written or applied yet");
     assert!(matches!(other.change(|s| s.put_back("w2", UnixMicros(1), 1)), Ok(Change::Busy)));
     one.state = std::thread::spawn(|| pending.write()).join().unwrap().unwrap();
     assert_eq!((other.refresh().unwrap(), &other.state), (true, &one.state));
-    // One that is given up on the way changes nothing and keeps nobody out.
+    // Dropping a pending change abandons it and releases the lock.
     drop(one.change(|s| assert!(s.drain("w2"))));
     write_change(&mut other, |s| assert!(s.drain("w3")));
     assert_eq!(join(&folder).state.drained, ["w1", "w3"]);
--- a/proxy/src/state/metrics/counters.rs
+++ b/proxy/src/state/metrics/counters.rs
@@ -1,4 +1,4 @@
-//! Counters since the start, printed at exit and on SIGUSR1.
+//! Counters since the start of the process, logged at exit and on SIGUSR1.
 
 use crate::outcome::{AttemptOutcome, ConnectionEnd, DiscoveryEnd, COUNTER_PREFIX};
 use std::collections::HashMap;
@@ -9,38 +9,38 @@
 pub struct ByClass {
     /// Answered with a value or receipt.
     pub served: u64,
-    /// Answered with an overload reply.
+    /// Answered with an overload error.
     pub refused: u64,
     /// Answered with an error.
     pub failed: u64,
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Requests taken from clients.
+    /// Requests accepted from clients.
     pub taken: u64,
-    /// Commands in a known form that were not taken.
+    /// Well-formed commands that were not accepted.
     pub rejected: u64,
-    /// Attempts begun.
+    /// Attempts started.
     pub sent: u64,
-    /// Attempts whose command was written whole, to a backend or to the origin.
+    /// Attempts whose command was written completely, to a backend or to the origin.
     pub attempts: u64,
     /// How requests ended, by class in the order of the settings.
     pub classes: Vec<ByClass>,
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     pub left: u64,
     /// Client connections accepted.
     pub accepted: u64,
-    /// Connections to backends and the origin opened.
+    /// Connections opened to backends and the origin.
     pub opened: u64,
-    /// Attempts that went out on a connection that was there.
+    /// Attempts sent on an idle connection.
     pub reused: u64,
-    /// Lists and changes that discovery sent.
+    /// Endpoint updates received from discovery.
     pub discovery_updates: u64,
-    /// Watches begun.
+    /// Watches started on discovery.
     pub watches: u64,
-    /// Failures to accept a connection.
+    /// Failed accepts of client connections.
     pub accept_errors: u64,
     attempt_outcomes: HashMap<AttemptOutcome, u64>,
     connection_ends: HashMap<ConnectionEnd, u64>,
@@ -48,12 +48,12 @@
 }
 
 impl Counters {
-    /// Nothing counted yet, with a place for each class.
+    /// Counters at zero, for this number of request classes.
     pub fn new(classes: usize) -> Self {
         Counters { classes: vec![ByClass::default(); classes], ..Counters::default() }
     }
 
-    /// How the requests of all classes ended.
+    /// The sum over all classes.
     pub fn all(&self) -> ByClass {
         self.classes.iter().fold(ByClass::default(), |all, c| ByClass {
             served: all.served + c.served,
@@ -77,14 +77,14 @@
         *self.watch_ends.entry(end).or_default() += 1;
     }
 
-    /// How many attempts have ended so.
+    /// The number of attempts that ended with this outcome.
     pub fn attempts_ended(&self, outcome: AttemptOutcome) -> u64 {
         count(&self.attempt_outcomes, outcome)
     }
 }
 
 impl Counters {
-    /// Every count with its name, in the order in which they are printed.
+    /// All counters with their names, in the order in which they are logged.
     pub fn named(&self) -> Vec<(String, u64)> {
         let all = self.all();
         let named = [
--- a/proxy/src/state/metrics/mod.rs
+++ b/proxy/src/state/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics: what the proxy counts, and the snapshot of it that operators fetch.
+//! The proxy's counters, and the snapshot of metrics that operators fetch.
 
 pub mod counters;
 pub mod snapshot;
--- a/proxy/src/state/metrics/snapshot.rs
+++ b/proxy/src/state/metrics/snapshot.rs
@@ -1,39 +1,39 @@
-//! The snapshot of metrics that operators fetch: read from what is counted and held, as one JSON object.
+//! The metrics that operators fetch, as one JSON object.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What `GET /_vars` shows. The names are the operators' own.
+/// The response to `GET /_vars`. Its field names are an interface for operators.
 #[derive(Debug, Default, PartialEq, Serialize)]
 pub struct Metrics<'a> {
     /// Requests answered with a value or a receipt, by class.
     pub served: BTreeMap<&'a str, u64>,
-    /// Requests answered with an overload reply, by class.
+    /// Requests answered with an overload error, by class.
     pub refused: BTreeMap<&'a str, u64>,
     /// Requests answered with an error, by class.
     pub failed: BTreeMap<&'a str, u64>,
-    /// Attempts whose command was written whole, to a backend or to the origin.
+    /// Attempts whose command was written completely, to a backend or to the origin.
     pub attempts: u64,
-    /// Requests taken and not ended yet.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Backends in discovery's list; the origin is none.
+    /// Backends in the endpoint list, without the origin.
     pub cache_nodes_known: usize,
-    /// Those of them that are avoided now, by operators or by choice.
+    /// Listed backends that currently get no requests, because of an administrative drain or the proxy's own decision.
     pub cache_nodes_excluded: usize,
-    /// What is acted on, where the group's versions are.
+    /// The configuration version in force; absent if versions are not in use.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub versions: Option<VersionMetrics>,
 }
 
-/// What `GET /_vars` shows of versions.
+/// The configuration version in the response to `GET /_vars`.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct VersionMetrics {
-    /// The version; none in safe mode.
+    /// The number of the version; `null` in safe mode.
     pub version: Option<u64>,
-    /// Since when, in Unix milliseconds.
+    /// When it came into force, in Unix milliseconds.
     pub since_ms: u64,
-    /// Until when it is confirmed.
+    /// When its confirmation ends, in Unix milliseconds.
     pub until_ms: u64,
-    /// Requests that it, or the safe mode, has had refused.
+    /// Requests refused because of a version or of safe mode.
     pub refused: u64,
 }
--- a/proxy/src/state/mod.rs
+++ b/proxy/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept between one event and the next.
+//! The proxy's state: endpoints, connection pools, timers, metrics, and what outlives a restart.
 
 pub mod boot_times;
 pub mod endpoints;
--- a/proxy/src/state/pool.rs
+++ b/proxy/src/state/pool.rs
@@ -1,17 +1,17 @@
-//! Idle connections to backends and the origin, and the budget of sockets.
+//! Pools of idle connections to servers, and limits on the number of open sockets.
 
 use notchdoor::{Micros, ServerId};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Idle connections that are kept for one backend.
+/// Idle connections that are kept for each server.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// A connection rests so long after a reply before it takes another command. Something may come some
-/// milliseconds behind a reply, such as a second copy of it: read too early it would be taken for the next one's.
+/// Pause after a reply before a connection is used again. Stray bytes, such as a duplicate of the reply, may arrive a few
+/// milliseconds later and would be mistaken for the next reply.
 const REUSE_DELAY: Micros = 8_000;
 
-/// One socket of a budget: given back when it is dropped.
+/// The right to one socket of a budget, returned on drop.
 pub struct Ticket(Rc<Cell<usize>>);
 
 impl Drop for Ticket {
@@ -20,71 +20,71 @@
     }
 }
 
-/// So many sockets and no more.
+/// A limit on the number of open sockets.
 pub struct Budget {
     used: Rc<Cell<usize>>,
     limit: Cell<usize>,
 }
 
 impl Budget {
-    /// A budget of which nothing is used.
+    /// Creates an unused budget.
     pub fn new(limit: usize) -> Self {
         Budget { used: Rc::default(), limit: Cell::new(limit) }
     }
 
-    /// So many from here on; what is used beyond that stays until it is given back.
+    /// Changes the limit. Sockets in use beyond it stay open.
     pub fn resize(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// How many there may be.
+    /// The limit.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// One more socket, whether there is room or not.
+    /// Takes one socket, even beyond the limit.
     pub fn overdraw(&self) -> Ticket {
         self.used.set(self.used.get() + 1);
         Ticket(Rc::clone(&self.used))
     }
 
-    /// One more socket, if there is room.
+    /// Takes one socket; `None` if the limit is reached.
     pub fn take(&self) -> Option<Ticket> {
         (self.used.get() < self.limit.get()).then(|| self.overdraw())
     }
 
-    /// How many are used.
+    /// The number of sockets in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 }
 
 struct ServerPool<C> {
-    /// Since when each has been idle, oldest first.
+    /// Connections with the time since when they are idle, oldest first.
     idle: Vec<(Micros, C)>,
-    /// Connections of another generation are of no more use.
+    /// Connections of earlier generations are not returned to the pool.
     generation: u64,
 }
 
-/// Idle connections by backend.
+/// Idle connections by server.
 pub struct Pools<C> {
     servers: HashMap<ServerId, ServerPool<C>>,
-    /// Never used twice, so that a pool that is dropped leaves nothing behind.
+    /// The last generation used. Generations are not reused, so that connections of a dropped pool never return to a new one.
     next_generation: u64,
-    /// Connections are closed after standing idle for so long.
+    /// Connections that have been idle for longer are closed.
     max_idle: Micros,
 }
 
 impl<C> Pools<C> {
-    /// Empty pools for backends that close idle connections after `idle_close`.
+    /// Creates empty pools for servers that close idle connections after `idle_close`.
     pub fn new(idle_close: Micros) -> Self {
-        // A tenth earlier, and a second where that is more: a command written to a connection that the
-        // backend is closing ends as a reset, and an unsafe write may then not be repeated.
+        // Closes connections before the server does: a command on a connection that the server is closing fails with a
+        // reset, after which a non-idempotent write cannot be retried.
         let margin = (idle_close / 10).max(1_000_000).min(idle_close / 2);
         Pools { servers: HashMap::new(), next_generation: 0, max_idle: idle_close - margin }
     }
 
-    /// The generation that a new connection belongs to.
+    /// The current generation of a server's connections.
     pub fn generation(&mut self, server: ServerId) -> u64 {
         let next = &mut self.next_generation;
         let pool = self.servers.entry(server).or_insert_with(|| {
@@ -94,8 +94,8 @@
         pool.generation
     }
 
-    /// The connection that was used most recently among those that are rested, if it is not too old; where none is,
-    /// the one that will be first. And when it is reusable.
+    /// Takes the most recently used connection whose `REUSE_DELAY` has passed, or else the one for which it passes first.
+    /// Returns it with the time from which it may be used.
     pub fn take(&mut self, now: Micros, server: ServerId) -> Option<(Micros, C)> {
         let max_idle = self.max_idle;
         let idle = &mut self.servers.get_mut(&server)?.idle;
@@ -107,12 +107,12 @@
         if since + max_idle > now {
             return Some((since + REUSE_DELAY, connection));
         }
-        // Those before it have been idle for longer still.
+        // The connections before it are older still.
         idle.drain(..reusable.unwrap_or(0));
         self.take(now, server)
     }
 
-    /// Takes back a connection. It is dropped if its generation is over; of too many, the oldest is.
+    /// Returns a connection to its pool. It is dropped if its generation has ended; a full pool drops its oldest one.
     pub fn put(&mut self, now: Micros, server: ServerId, generation: u64, connection: C) {
         let pool = self.servers.get_mut(&server).filter(|s| s.generation == generation);
         let Some(pool) = pool else { return };
@@ -122,12 +122,12 @@
         pool.idle.push((now, connection));
     }
 
-    /// Drops a backend's idle connections, and those out when they come back.
+    /// Drops a server's idle connections, and those in use once they are returned.
     pub fn drop_server(&mut self, server: ServerId) {
         self.servers.remove(&server);
     }
 
-    /// Drops the connections that are too old, or that `alive` says have been closed.
+    /// Drops connections that have been idle for too long or for which `alive` returns false.
     pub fn sweep(&mut self, now: Micros, alive: impl Fn(&C) -> bool) {
         for pool in self.servers.values_mut() {
             let max_idle = self.max_idle;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Drops the connection that has been idle for longest, to make room. False if there is none.
+    /// Drops the connection that has been idle for longest. Returns false if there is none.
     pub fn evict(&mut self) -> bool {
         let oldest = |s: &&mut ServerPool<C>| s.idle.first().map_or(Micros::MAX, |(since, _)| *since);
         match self.servers.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(oldest) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How many idle connections a backend has.
+    /// The number of idle connections to a server.
     pub fn idle(&self, server: ServerId) -> usize {
         self.servers.get(&server).map_or(0, |s| s.idle.len())
     }
--- a/proxy/src/state/pool/tests.rs
+++ b/proxy/src/state/pool/tests.rs
@@ -1,29 +1,29 @@
-//! Pools and budgets of connections.
+//! Tests of connection pools and socket budgets.
 
 use super::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[test]
-fn the_most_recently_used_connection_is_reused_and_old_ones_retire() {
-    let mut pools = Pools::new(30 * S);
+fn take_returns_the_most_recently_used_connection_and_old_ones_are_dropped() {
+    let mut pools = Pools::new(30 * SECOND);
     let generation = pools.generation(1);
-    for (now, c) in [(0, 'a'), (S, 'b'), (2 * S, 'c')] {
+    for (now, c) in [(0, 'a'), (SECOND, 'b'), (2 * SECOND, 'c')] {
         pools.put(now, 1, generation, c);
     }
-    assert_eq!(pools.take(3 * S, 1), Some((2 * S + REUSE_DELAY, 'c')));
-    assert_eq!(pools.take(3 * S, 2), None);
-    pools.sweep(27 * S, |_| true);
-    assert_eq!(pools.idle(1), 1, "retired a tenth before the backend closes it");
-    assert_eq!(pools.take(28 * S, 1), None, "too old though no sweep came by");
-    pools.put(40 * S, 1, generation, 'd');
-    pools.sweep(40 * S, |&c| c != 'd');
-    assert_eq!(pools.idle(1), 0, "closed by the backend");
+    assert_eq!(pools.take(3 * SECOND, 1), Some((2 * SECOND + REUSE_DELAY, 'c')));
+    assert_eq!(pools.take(3 * SECOND, 2), None);
+    pools.sweep(27 * SECOND, |_| true);
+    assert_eq!(pools.idle(1), 1, "dropped a tenth of the time before the server closes it");
+    assert_eq!(pools.take(28 * SECOND, 1), None, "too old, although not swept yet");
+    pools.put(40 * SECOND, 1, generation, 'd');
+    pools.sweep(40 * SECOND, |&c| c != 'd');
+    assert_eq!(pools.idle(1), 0, "closed by the server");
 }
 
 #[test]
-fn a_generation_that_is_over_does_not_come_back() {
-    let mut pools = Pools::new(30 * S);
+fn connections_of_an_ended_generation_are_not_pooled() {
+    let mut pools = Pools::new(30 * SECOND);
     let generation = pools.generation(1);
     pools.put(0, 1, generation, 'a');
     pools.drop_server(1);
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn idle_connections_and_budgets_are_bounded() {
-    let mut pools = Pools::new(30 * S);
+fn idle_connections_and_budgets_are_limited() {
+    let mut pools = Pools::new(30 * SECOND);
     let budget = Budget::new(MAX_IDLE_CONNECTIONS + 1);
     let generation = pools.generation(1);
     for now in 0..=MAX_IDLE_CONNECTIONS as u64 {
--- a/proxy/src/state/timers.rs
+++ b/proxy/src/state/timers.rs
@@ -1,15 +1,15 @@
-//! The module's timers: one queue in the order in which they fall due.
+//! The queue of timers, ordered by due time.
 
 use notchdoor::Micros;
 use std::collections::BTreeMap;
 
-/// The most timers that are kept; the module sets a few for each request that it holds.
+/// Timers in the queue. Each request in flight sets a few.
 const MAX_TIMERS: usize = 200_000;
 
-/// One timer's place in the queue.
+/// Identifies a timer: its due time and its serial number.
 pub type TimerKey = (Micros, u64);
 
-/// Timers by due time, those of one time in the order in which they were set.
+/// Timers in order of due time. Timers of the same time are ordered as they were set.
 #[derive(Default)]
 pub struct Timers {
     queue: BTreeMap<TimerKey, u64>,
@@ -17,7 +17,7 @@
 }
 
 impl Timers {
-    /// Sets a timer. `None` if the queue is full.
+    /// Adds a timer that returns `token` when due. `None` if the queue is full.
     pub fn set(&mut self, due: Micros, token: u64) -> Option<TimerKey> {
         let key = (due, self.next_serial);
         (self.queue.len() < MAX_TIMERS).then(|| {
@@ -27,32 +27,32 @@
         })
     }
 
-    /// Takes back a timer that nobody waits for any more.
+    /// Cancels a timer.
     pub fn remove(&mut self, key: TimerKey) {
         self.queue.remove(&key);
     }
 
-    /// The tokens of all that are set, in the order in which they fall due.
+    /// The tokens of all timers, in order of due time.
     pub fn tokens(&self) -> impl Iterator<Item = u64> + '_ {
         self.queue.values().copied()
     }
 
-    /// How many are set.
+    /// The number of timers.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none is set.
+    /// Whether there are no timers.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// When the next one falls due.
+    /// The due time of the first timer.
     pub fn next_due(&self) -> Option<Micros> {
         self.queue.first_key_value().map(|(&(due, _), _)| due)
     }
 
-    /// Takes the next one that has fallen due.
+    /// Removes the first timer if it is due and returns its token.
     pub fn pop(&mut self, now: Micros) -> Option<u64> {
         if self.next_due()? > now {
             return None;
--- a/proxy/src/state/timers/tests.rs
+++ b/proxy/src/state/timers/tests.rs
@@ -1,9 +1,9 @@
-//! The order of timers.
+//! Tests of the timer queue.
 
 use super::*;
 
 #[test]
-fn timers_fire_in_order_and_never_early() {
+fn due_timers_are_popped_in_order_without_removed_ones() {
     let mut timers = Timers::default();
     for (due, token) in [(30, 1), (10, 2), (20, 3), (10, 4)] {
         assert!(timers.set(due, token).is_some());
--- a/proxy/src/state/versions.rs
+++ b/proxy/src/state/versions.rs
@@ -1,40 +1,43 @@
-//! What the group's versions forbid here, from moment to moment: fed the plan that a confirmation gives,
-//! asked by the clock alone, so that a process that stood still obeys what is due when it goes on.
+//! The configuration version in force at this proxy and the requests that it blocks.
+//!
+//! Each confirmation by the lease group replaces the schedule of versions. Which one is in force then depends on the clock
+//! alone, so that a process that was paused applies the right one when it continues.
 
 use notchdoor::Micros;
 use notchdoor_coordination::versioned_config::{BlockRules, Version};
 
-/// From when on something is acted on: a version, or without one the guard.
+/// A step of the schedule: what is in force from a given time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// From then on.
+    /// When the step takes effect.
     pub from: Micros,
-    /// What is acted on.
+    /// The version in force, or `None` for the guard rules.
     pub on: Option<Version>,
 }
 
-/// See the module.
+/// The version in force, and the schedule of the following ones.
 pub struct VersionInForce {
+    /// The rules that apply while no version is confirmed.
     guard: BlockRules,
-    /// What is acted on now, and since when.
+    /// The step in force.
     current: Step,
-    /// What comes, in order; the last is the guard.
+    /// Future steps in order; the last one returns to the guard rules.
     steps: Vec<Step>,
 }
 
 impl VersionInForce {
-    /// Nothing is confirmed yet.
+    /// Starts with the guard rules in force, as no version is confirmed yet.
     pub fn new(guard: BlockRules, now: Micros) -> VersionInForce {
         VersionInForce { guard, current: Step { from: now, on: None }, steps: Vec::new() }
     }
 
-    /// Takes another plan in the old one's place.
+    /// Replaces the schedule.
     pub fn plan(&mut self, steps: Vec<Step>) {
         self.steps = steps;
         self.steps.sort_by_key(|s| s.from);
     }
 
-    /// Goes on to what is due at `now`; whether that is another version.
+    /// Applies the steps that are due at `now`. Returns whether another version is in force.
     pub fn step(&mut self, now: Micros) -> bool {
         let due = self.steps.partition_point(|s| s.from <= now);
         let Some(step) = self.steps.drain(..due).next_back() else { return false };
@@ -46,27 +49,27 @@
         changed
     }
 
-    /// When the next step is due.
+    /// When the next step takes effect; `None` without one.
     pub fn next_due(&self) -> Option<Micros> {
         self.steps.first().map(|s| s.from)
     }
 
-    /// What is acted on, and since when.
+    /// The step in force.
     pub fn acting(&self) -> &Step {
         &self.current
     }
 
-    /// Until when that is confirmed.
+    /// When the confirmation ends.
     pub fn until(&self) -> Micros {
         self.steps.last().map_or(self.current.from, |s| s.from)
     }
 
-    /// What is forbidden.
+    /// The rules in force.
     pub fn rules(&self) -> &BlockRules {
         self.current.on.as_ref().map_or(&self.guard, |v| &v.rules)
     }
 
-    /// Whether requests of this class, or for this key, are refused.
+    /// Whether the rules in force block requests of this class or for this key.
     pub fn forbids(&self, class: &str, key: &[u8]) -> bool {
         let rules = self.rules();
         let named = |key: &[u8]| std::str::from_utf8(key).is_ok_and(|key| rules.keys.contains(key));
