--- a/proxy/src/replication/tests.rs
+++ b/proxy/src/replication/tests.rs
@@ -1,4 +1,4 @@
-//! The runtime of a node that is alone, beside a group's member that only answers what a node asks.
+//! The runtime of a single node, with a stub of a lease group member.
 
 use super::*;
 use futures_lite::future::block_on;
@@ -12,20 +12,20 @@
 
 type Runtime = ReplicationRuntime<NegativeCacheShard>;
 
-/// A member that applies every change to one shard map, and takes every node to be up.
-fn start_member() -> SocketAddr {
+/// Starts a stub of a group member, which applies every shard map change and reports every node as up.
+fn start_group_member() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let mut table = ShardMap::default();
         for stream in listener.incoming() {
-            let _ = answer_one(&mut stream.unwrap(), &mut table);
+            let _ = answer_request(&mut stream.unwrap(), &mut table);
         }
     });
     address
 }
 
-fn answer_one(stream: &mut TcpStream, table: &mut ShardMap) -> std::io::Result<()> {
+fn answer_request(stream: &mut TcpStream, table: &mut ShardMap) -> std::io::Result<()> {
     let (mut decoder, mut buffer) = (Decoder::with_most(MAX_FRAME), [0; 4096]);
     let (req, request) = loop {
         match decoder.next_frame() {
@@ -56,7 +56,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A node of one shard, of which it is the only replica.
+/// Starts a node with one shard, of which it is the only replica.
 fn start_node(name: &str, executor: &Rc<LocalExecutor<'static>>) -> Rc<Runtime> {
     let data = std::env::temp_dir().join(format!("notchdoor-runtime-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&data);
@@ -70,43 +70,43 @@
         copies: 1,
         least: 1,
     };
-    Runtime::start(config, vec![(1, start_member())], Drift::default(), name, executor).unwrap()
+    Runtime::start(config, vec![(1, start_group_member())], Drift::default(), name, executor).unwrap()
 }
 
 async fn invalidate(runtime: &Rc<Runtime>, limit: Duration) -> Response<NegativeCacheShard> {
     runtime.execute(0, Operation::Invalidate { key: b"k".to_vec() }, limit).await
 }
 
-async fn until_committed(runtime: &Rc<Runtime>) {
+async fn wait_until_committed(runtime: &Rc<Runtime>) {
     let until = Instant::now() + Duration::from_secs(10);
     while !matches!(invalidate(runtime, Duration::from_secs(1)).await, Response::Committed(_)) {
-        assert!(Instant::now() < until, "nothing is ever committed");
-        Timer::after(TICK).await;
+        assert!(Instant::now() < until, "no operation was committed within 10 s");
+        Timer::after(TICK_INTERVAL).await;
     }
 }
 
 #[test]
-fn requests_end_in_time_while_the_disk_stands_still() {
+fn requests_get_a_response_within_their_limit_while_the_disk_is_stalled() {
     const LIMIT: Duration = Duration::from_millis(10);
-    // Each may wait for the next tick beside its limit; the rest is for a busy machine.
-    const MOST: Duration = Duration::from_millis(1_000);
+    // The limit, one tick, and a margin for a busy machine.
+    const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1_000);
     let executor = Rc::new(LocalExecutor::new());
     let runtime = start_node("stalled", &executor);
     block_on(executor.run(async {
-        until_committed(&runtime).await;
+        wait_until_committed(&runtime).await;
         let stalled = Arc::clone(&runtime.store.borrow().as_ref().unwrap().stalled);
         stalled.store(true, Ordering::SeqCst);
         for n in 0..256 {
             let began = Instant::now();
             let request = async { Some(invalidate(&runtime, LIMIT).await) };
             let late = async {
-                Timer::after(MOST).await;
+                Timer::after(MAX_RESPONSE_TIME).await;
                 None
             };
             let response = futures_lite::future::or(request, late).await;
             assert!(response.is_some(), "request {n} has no response after {:?}", began.elapsed());
         }
         stalled.store(false, Ordering::SeqCst);
-        until_committed(&runtime).await;
+        wait_until_committed(&runtime).await;
     }));
 }
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -146,7 +146,7 @@
         match change {
             Ok(Change::Unchanged) => break,
             // Writing may block on the disk, so it runs on another thread.
-            Ok(Change::Pending(pending)) => match unblock(|| pending.keep()).await {
+            Ok(Change::Pending(pending)) => match unblock(|| pending.write()).await {
                 Ok(state) => {
                     if let Some(hot_restart) = runtime.hot_restart.borrow_mut().as_mut() {
                         hot_restart.state = state;
@@ -169,7 +169,9 @@
     }
     log::info!(backend; "admin: {action} {backend}: done");
     let deadline = Instant::now() + APPLY_TIMEOUT;
-    while runtime.other_processes().iter().any(|other| other.heeded < version) && Instant::now() < deadline {
+    while runtime.other_processes().iter().any(|other| other.state_serial < version)
+        && Instant::now() < deadline
+    {
         Timer::after(POLL_INTERVAL).await;
     }
     Reply::text(200, state)
--- a/proxy/src/wire/driver/client/accept.rs
+++ b/proxy/src/wire/driver/client/accept.rs
@@ -37,7 +37,7 @@
         runtime.descriptors_short.set(false);
         // A load balancer in front may allow fewer connections than this budget, so idle connections are retired
         // before the budget is exhausted.
-        if runtime.client_budget.used() * 2 > runtime.client_budget.most() {
+        if runtime.client_budget.used() * 2 > runtime.client_budget.limit() {
             runtime.retire_idle(None);
         }
         let accepting_since = runtime.clock.now();
--- a/proxy/src/wire/driver/hot_restart.rs
+++ b/proxy/src/wire/driver/hot_restart.rs
@@ -75,7 +75,7 @@
         };
         self.drive(|proxy, now| proxy.set_drains(now, drains));
         if let Some(hot_restart) = self.hot_restart.borrow_mut().as_mut() {
-            hot_restart.tell();
+            hot_restart.publish();
         }
         state.serial
     }
@@ -129,7 +129,7 @@
         let mut aborted = 0;
         loop {
             let in_time = Instant::now() < deadline;
-            let room = self.client_budget.used() < self.client_budget.most() + MAX_OVERDRAFT_CONNECTIONS;
+            let room = self.client_budget.used() < self.client_budget.limit() + MAX_OVERDRAFT_CONNECTIONS;
             if !room && in_time {
                 self.retire_idle(Some(0));
                 Timer::after(READY_POLL_INTERVAL).await;
--- a/proxy/tests/clocks.rs
+++ b/proxy/tests/clocks.rs
@@ -3,7 +3,7 @@
 
 use notchdoor::{Micros, ServerId};
 use notchdoor_proxy::state::endpoints::{
-    server_id, AdministrativeDrains, EndpointList, Target, Update, MOST_WALL_STEP,
+    server_id, AdministrativeDrains, EndpointList, Target, Update, MAX_WALL_CLOCK_STEP,
 };
 use notchdoor_proxy::state::time::{ClockReading, UnixMicros};
 use notchdoor_settings::{DeploymentNames, Readiness};
@@ -268,7 +268,7 @@
     }
     // Put back longer ago than the maximum wall clock step and a slow start: warm.
     let mut list = endpoint_list(0);
-    let stamp = UnixMicros(DISCOVERY_TIME_AT_START - MOST_WALL_STEP - SLOW_START);
+    let stamp = UnixMicros(DISCOVERY_TIME_AT_START - MAX_WALL_CLOCK_STEP - SLOW_START);
     list.set_drains(PROCESS_START, put_back(stamp));
     let target = Target { boot_ms: 0.0, ..target_started("w", 0) };
     assert_eq!(list.apply_update(PROCESS_START, update(1, true, vec![target])), [(server_id("w"), 0)]);
--- a/proxy/tests/hot_restart.rs
+++ b/proxy/tests/hot_restart.rs
@@ -50,7 +50,7 @@
     let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
         panic!("nothing to be written");
     };
-    change.keep().unwrap();
+    change.write().unwrap();
     let written = std::fs::read_to_string(dir.0.join(STORED_FILE_NAME)).unwrap();
     let expected = STORED_STATE
         .replace("\"serial\":3", "\"serial\":4")
@@ -69,7 +69,7 @@
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
-        let problem = change.keep().expect_err("the change is reported as stored").to_string();
+        let problem = change.write().expect_err("the change is reported as stored").to_string();
         assert!(problem.contains(".new: "), "{problem}");
         assert_eq!(std::fs::read_to_string(dir.0.join(STORED_FILE_NAME)).unwrap(), STORED_STATE, "{failing}");
         assert!(!joined.state.is_drained("w9"), "the failed change is in effect");
@@ -77,7 +77,7 @@
         let Ok(Change::Pending(change)) = joined.change(|state| assert!(state.drain("w9"))) else {
             panic!("nothing to be written");
         };
-        assert!(change.keep().unwrap().is_drained("w9"));
+        assert!(change.write().unwrap().is_drained("w9"));
         assert!(dir.join().state.is_drained("w9"));
     }
 }
