--- a/cli/tests/bad_input.rs
+++ b/cli/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Every file that the programs read, spoilt in every way: one clear error that names it, never a panic or a hang.
+//! Malformed, truncated and oversized input for every kind of file that the program reads: parsing returns an error that
+//! names the file, and does not panic or hang.
 
 use notchdoor_lab::{experiment, scenario};
 use notchdoor_limits::policy_file::{self as limits, PolicyContext};
@@ -19,7 +20,7 @@
     "length_s = 3.0\nwarm_up_s = 1.0\n[workers]\ncount = 5\n[[fault]]\nkind = 'flush'\nat_s = 1.0\n";
 const RECORD: &str = "0.5 read k1\n0.7\n# note\n1.25 read\n";
 
-/// A kind of file: its name, a good text, and what reads it. The error is what a person would see.
+/// The name of a kind of file, a valid text of it, and its parser, which returns the error message shown to the user.
 type FileKind = (&'static str, String, fn(&[u8]) -> Result<(), String>);
 
 fn utf8(bytes: &[u8]) -> Result<&str, String> {
@@ -63,7 +64,7 @@
     ]
 }
 
-/// What is no file of any kind.
+/// Inputs that are not valid for any kind of file.
 fn malformed_inputs() -> Vec<Vec<u8>> {
     let deep = |open: &str| open.repeat(50_000).into_bytes();
     vec![
@@ -88,7 +89,7 @@
         read(good.as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"));
         for bytes in malformed_inputs() {
             let start = String::from_utf8_lossy(&bytes[..bytes.len().min(12)]).into_owned();
-            let error = read(&bytes).expect_err(&format!("{name} takes {start:?}"));
+            let error = read(&bytes).expect_err(&format!("{name} accepted {start:?}"));
             assert!(error.lines().all(|l| l.starts_with("file")), "{name}, {start:?}: {error:.300}");
             assert!(!error.is_empty() && error.len() < 4_000, "{name}, {start:?}: {} bytes", error.len());
         }
@@ -124,12 +125,12 @@
         ("\"sockets\":1024", "\"sockets\":-1", "limits.sockets: invalid value"),
     ] {
         let error = Config::parse(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).err();
-        let error = error.unwrap_or_else(|| panic!("{to} is taken")).to_string();
+        let error = error.unwrap_or_else(|| panic!("{to} was accepted")).to_string();
         assert!(error.starts_with("EDGE_CONFIG: ") && error.contains(expected), "{expected}: {error}");
     }
 }
 
-/// Finding 9: files were read whole before anything looked at their size.
+/// A file is not read beyond its size limit.
 #[test]
 fn bounded_read_rejects_oversized_invalid_and_missing_files() {
     let error = bounded_file::read_bytes(Path::new("/dev/zero"), 1 << 16).unwrap_err().to_string();
--- a/cli/tests/command_line.rs
+++ b/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program as a user or a script meets it: exit codes, errors, files, and the same day in two processes.
+//! The command line as users and scripts see it: exit codes, messages and written files.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -35,9 +35,9 @@
     );
     let many = "x=1,2,3,4,5,6,7,8,9,10";
     let deep = format!("{}=1", "a.".repeat(5_000));
-    // arguments, exit code, on standard output, on standard error
+    // Arguments, exit code, text on standard output, text on standard error.
     let cases: &[(&[&str], i32, &str, &str)] = &[
-        // Finding 21: figures beyond any use took all the memory, or ended in a panic.
+        // Values beyond these limits would exhaust the memory or panic.
         (
             &[
                 "lab", "run", "calm", "--set", many, "--set", many, "--set", many, "--set", many, "--set",
@@ -140,7 +140,7 @@
     let base = ["lab", "run", "calm", "--policies", "notchdoor,limited", "--json"];
     let output = run(&[&base[..], &args, &["--policy", &file, "--out", &out]].concat());
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
-    // The policy without limits plays four days, the other one each of them with both budgets.
+    // `notchdoor` ignores the limits file, so it plays four grid points; `limited` plays each with both budgets.
     assert_eq!(text(&output.stdout).lines().count(), 4 + 8);
     let chart = std::fs::read_to_string(folder.join("grid.svg")).unwrap();
     for words in ["load.share (across)", "proxies (up)", "budget.a.share 0.1", "budget.a.share 0.2"] {
@@ -168,7 +168,7 @@
         ["proxies=2", "workers.count=4", "length_s=3", "warm_up_s=2", "keys.count=40", "origin.headroom=8"];
     let sets: Vec<&str> = sets.iter().flat_map(|s| ["--set", *s]).collect();
     let output = run(&[&["lab", "play", "calm", "--json", "--out", &out][..], &sets].concat());
-    // A machine too busy to play in time is said to be so; nothing may be broken on any.
+    // A run that is late on a busy machine is reported as void with exit code 1; no rule may be violated in any case.
     let played: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(played["broken"].as_array().map(Vec::len), Some(0), "{played}");
     assert_eq!(output.status.code(), Some(i32::from(!played["void"].is_null())), "{}", text(&output.stderr));
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the socket tests share: the program as a process, and peers that do what a test says.
-// Each test file uses what it needs.
+//! Helpers of the process and socket tests: the program as a child process, fake servers and a fake discovery service.
+// Each test file uses some of them.
 #![allow(dead_code)]
 
 use notchdoor_proxy::wire::resp::{write_command, Reader, Value};
@@ -13,26 +13,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// No wait is longer: a test that would hang fails instead.
+/// Upper bound of every wait; a test that would hang fails instead.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A worker's or the origin's way: what it answers to a request (a worker's words, or the origin's method,
-/// path and id); `None` breaks the connection.
+/// Returns the response to a request, which is the list of a command's words for a backend, and method, path and call id
+/// for an origin. `None` closes the connection.
 pub type Handler = Box<dyn Fn(&[String]) -> Option<Vec<u8>> + Send + Sync>;
 
-/// A worker or an origin, and what it was sent.
+/// A backend or an origin that runs in the test and records its requests.
 pub struct FakeServer {
     pub endpoint: SocketAddr,
     received: Arc<Mutex<Vec<Vec<String>>>>,
 }
 
 impl FakeServer {
-    /// One that somebody else plays, at this address.
+    /// Refers to a server that the test runs itself; no requests are recorded.
     pub fn external(endpoint: SocketAddr) -> FakeServer {
         FakeServer { endpoint, received: Arc::default() }
     }
 
-    /// Every request so far.
+    /// Returns all requests received so far.
     pub fn requests(&self) -> Vec<Vec<String>> {
         self.received.lock().unwrap().clone()
     }
@@ -52,7 +52,7 @@
                             Some(answer) if reader.get_mut().write_all(&answer).is_ok() => {}
                             _ => return,
                         }
-                        // A key of this name has its connection closed behind the answer.
+                        // A key with this suffix closes the connection after its response.
                         if request[1].ends_with("once") {
                             return;
                         }
@@ -73,7 +73,7 @@
                 if let Some(Value::Array(Some(words))) = resp.next_value().ok()? {
                     let word = |w: &Value| match w {
                         Value::Bulk(Some(w)) => String::from_utf8_lossy(w).into_owned(),
-                        other => panic!("no word: {other:?}"),
+                        other => panic!("expected a bulk string, got {other:?}"),
                     };
                     return Some(words.iter().map(word).collect());
                 }
@@ -100,22 +100,22 @@
     }
 }
 
-/// A worker's answer with this value.
+/// A backend's response for a cached value.
 pub fn hit_response(text: &str) -> Option<Vec<u8>> {
     Some(format!("*3\r\n${}\r\n{text}\r\n$3\r\nhit\r\n$-1\r\n", text.len()).into_bytes())
 }
 
-/// An origin's answer.
+/// An HTTP response with this status line and body.
 pub fn http_response(head: &str, body: &str) -> Option<Vec<u8>> {
     Some(format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes())
 }
 
-/// A line of the registry's list.
+/// The JSON entry of a server in the endpoint list. A `uid` that starts with `o` is an origin.
 pub fn endpoint_entry(uid: &str, peer: &FakeServer, state: &str, boot_ms: u128) -> String {
     endpoint_entry_at(uid, peer.endpoint, state, boot_ms)
 }
 
-/// The same for whatever is at an address.
+/// Like [`endpoint_entry`], for a server at any address.
 pub fn endpoint_entry_at(uid: &str, endpoint: SocketAddr, state: &str, boot_ms: u128) -> String {
     let model = if uid.starts_with('o') { "origin" } else { "std" };
     format!(
@@ -124,12 +124,12 @@
 }
 
 pub fn unix_ms() -> u128 {
-    // What a discovery service stamps starts with.
+    // Discovery reports the start time of a server as Unix time.
     #[allow(clippy::disallowed_methods)]
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-/// A registry that says what a test has it say; each watch that is begun is told with its `from`.
+/// A discovery service that sends the updates that a test asks for. `watches` receives the request line of each watch.
 pub struct FakeDiscovery {
     endpoint: SocketAddr,
     pub watches: Receiver<String>,
@@ -153,7 +153,7 @@
                     .unwrap();
                 watch_started.send(request_line).unwrap();
                 while let Ok(text) = pending.recv() {
-                    // An empty text leaves the watch open and silent, and waits for the next one.
+                    // An empty text keeps this watch open without sending more, and accepts the next one.
                     if text.is_empty() {
                         break;
                     }
@@ -165,7 +165,7 @@
         FakeDiscovery { endpoint, watches, updates }
     }
 
-    /// One that somebody else plays, at this address.
+    /// Refers to a discovery service that the test runs itself.
     pub fn external(endpoint: SocketAddr) -> FakeDiscovery {
         let ((_, watches), (updates, _)) = (channel(), channel());
         FakeDiscovery { endpoint, watches, updates }
@@ -182,7 +182,7 @@
     }
 }
 
-/// What a proxy's processes share: its folder for what outlives one of them, gone with the last of them.
+/// The folder that successive processes of one proxy share for configuration and state. Removed on drop.
 pub struct StateFolder(pub PathBuf);
 
 impl Drop for StateFolder {
@@ -191,11 +191,11 @@
     }
 }
 
-/// The program, killed when it is dropped.
+/// A running proxy process, killed on drop.
 pub struct Proxy {
     pub child: Child,
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address of the admin interface.
     pub admin: SocketAddr,
     pub folder: Arc<StateFolder>,
     log: Arc<Mutex<String>>,
@@ -209,8 +209,8 @@
     }
 }
 
-/// An address of this process's own and a port below those that the system hands out: one that is asked for and given
-/// back could be taken by another test's connection.
+/// Returns an unused loopback address. The port is below the ephemeral range, so that no outgoing connection of another
+/// test can take it.
 fn address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(10_000);
     let [.., a, b] = std::process::id().to_be_bytes();
@@ -244,21 +244,21 @@
         "obligations":{"askEvery":10000.0,"cold":8100.0,"coldFrom":0.31,"fallMultiple":4.0,"tipAfter":2000.0}}"#
 }
 
-/// A file in a proxy's folder: its disk may be made full.
+/// Marker file in a proxy's folder: the process survives writes beyond its file size limit, which simulates a full disk.
 pub const DISK_LIMIT_MARKER: &str = "may-fill";
 
 impl Proxy {
-    /// Starts the program with this list and waits until it says that it is ready.
+    /// Starts a proxy with this endpoint list and waits until it answers PING.
     pub fn start(discovery: &FakeDiscovery, endpoints: &[String]) -> Proxy {
         Proxy::with_sockets(discovery, endpoints, 1024)
     }
 
-    /// The same with another limit on descriptors.
+    /// Like [`Proxy::start`], with a limit on file descriptors.
     pub fn with_sockets(discovery: &FakeDiscovery, endpoints: &[String], sockets: u32) -> Proxy {
         Proxy::with_policy(discovery, endpoints, sockets, None)
     }
 
-    /// The same with a file of limits, if any.
+    /// Like [`Proxy::with_sockets`], with the text of a policy file.
     pub fn with_policy(
         discovery: &FakeDiscovery,
         endpoints: &[String],
@@ -268,7 +268,7 @@
         Proxy::with_limits(discovery, endpoints, (sockets, 192), policy)
     }
 
-    /// The same with limits on descriptors and on memory, in MiB.
+    /// Like [`Proxy::with_policy`], with limits on file descriptors and on memory in MiB.
     pub fn with_limits(
         discovery: &FakeDiscovery,
         endpoints: &[String],
@@ -279,8 +279,8 @@
         Proxy::with_files(discovery, endpoints, limits, &files)
     }
 
-    /// The same with files beside the configuration: `policy.toml`, and `coord.toml` of the lease group; or with other
-    /// settings, as `settings.json`.
+    /// Like [`Proxy::with_limits`], with files in the proxy's folder: `policy.toml`, `coord.toml` for the lease group, and
+    /// `settings.json`, which replaces the default settings.
     pub fn with_files(
         discovery: &FakeDiscovery,
         endpoints: &[String],
@@ -305,18 +305,18 @@
                     break;
                 }
             }
-            assert!(Instant::now() < deadline, "never ready");
+            assert!(Instant::now() < deadline, "the proxy did not become ready");
             std::thread::sleep(Duration::from_millis(5));
         }
         proxy
     }
 
-    /// Starts the program once more on what is in this folder, and waits until it says yes.
+    /// Starts a proxy on an existing folder and waits until it reports ready.
     pub fn restart(discovery: &FakeDiscovery, folder: Arc<StateFolder>) -> Proxy {
         Proxy::restart_without_waiting(discovery, folder).until_ready()
     }
 
-    /// The same without the wait.
+    /// Like [`Proxy::restart`], without waiting.
     pub fn restart_without_waiting(discovery: &FakeDiscovery, folder: Arc<StateFolder>) -> Proxy {
         let text = std::fs::read_to_string(folder.0.join("config")).unwrap();
         let config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -327,18 +327,18 @@
     fn until_ready(self) -> Proxy {
         let deadline = Instant::now() + TIMEOUT;
         while self.call("GET", "/_ready", "").map(|(status, _)| status) != Some(200) {
-            assert!(Instant::now() < deadline, "never ready");
+            assert!(Instant::now() < deadline, "the proxy did not become ready");
             std::thread::sleep(Duration::from_millis(5));
         }
         self
     }
 
-    /// Starts a second process beside this one and waits until it says yes.
+    /// Starts a second process on the same address and folder, as in a hot restart, and waits until it reports ready.
     pub fn start_successor(&self, discovery: &FakeDiscovery) -> Proxy {
         Proxy::spawn(discovery, self.listen, Arc::clone(&self.folder)).until_ready()
     }
 
-    /// An operator's call: the status and the body; `None` if there is no answer.
+    /// Calls the admin interface and returns status and body, or `None` without a response.
     pub fn call(&self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let mut stream = TcpStream::connect(self.admin).ok()?;
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -351,9 +351,9 @@
         Some((head.split(' ').nth(1)?.parse().ok()?, body.to_owned()))
     }
 
-    /// The figures.
+    /// Returns the metrics of `/_vars`.
     pub fn metrics(&self) -> serde_json::Value {
-        serde_json::from_str(&self.call("GET", "/_vars", "").expect("figures").1).unwrap()
+        serde_json::from_str(&self.call("GET", "/_vars", "").expect("no response from /_vars").1).unwrap()
     }
 
     fn spawn(discovery: &FakeDiscovery, listen: SocketAddr, folder: Arc<StateFolder>) -> Proxy {
@@ -361,7 +361,7 @@
         let program = env!("CARGO_BIN_EXE_notchdoor");
         let mut command = Command::new(program);
         if folder.0.join(DISK_LIMIT_MARKER).exists() {
-            // A write beyond a limit is an error then, as on a full disk, and no signal that ends the process.
+            // With SIGXFSZ ignored, a write beyond the file size limit fails like one on a full disk.
             command = Command::new("sh");
             command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\"", program]);
         }
@@ -392,19 +392,19 @@
         Proxy { child, listen, admin, folder, log, logging: Some(logging) }
     }
 
-    /// Puts another text in the policy file's place and sends SIGHUP.
+    /// Replaces the policy file and sends SIGHUP.
     pub fn reload_policy(&self, text: &str) {
         std::fs::write(self.folder.0.join("policy.toml"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// Puts another text in the configuration's place and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload_config(&self, text: &str) {
         std::fs::write(self.folder.0.join("config"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// A configuration that names this registry and, beside it, a list long out of date.
+    /// Returns a configuration with this discovery service and an outdated, empty endpoint list.
     pub fn config(&self, discovery: &FakeDiscovery) -> String {
         config(discovery, self.listen, &[], (1024, 192), settings()).replace("\"rev\":41", "\"rev\":3")
     }
@@ -413,8 +413,8 @@
         Client::new(TcpStream::connect(self.listen).unwrap())
     }
 
-    /// A client that has asked once. One that is closed before its request is read asks again on a new connection,
-    /// as clients do: a busy machine may put a pause between the two that a crowded proxy does not wait out.
+    /// Returns a client whose first request was answered. Reconnects if the proxy closes the connection before it reads the
+    /// request, which may happen on a busy machine while the proxy is short of descriptors.
     pub fn client_after_request(&self, id: &str) -> Client {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -425,7 +425,7 @@
                     assert_eq!(answer, bulk(id));
                     return client;
                 }
-                None => assert!(Instant::now() < deadline, "never answered"),
+                None => assert!(Instant::now() < deadline, "no request was answered"),
             }
         }
     }
@@ -435,11 +435,11 @@
         assert!(sent.unwrap().success());
     }
 
-    /// Waits for the program's end: whether it exited with 0, and its log.
+    /// Waits for the process to exit. Returns whether the exit code was 0, and the log.
     pub fn wait_for_exit(mut self) -> (bool, String) {
         let deadline = Instant::now() + TIMEOUT;
         while self.child.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < deadline, "never ends");
+            assert!(Instant::now() < deadline, "the process did not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
         self.logging.take().unwrap().join().unwrap();
@@ -447,23 +447,23 @@
         (self.child.wait().unwrap().success(), log)
     }
 
-    /// The log so far, and whether the program still runs: what a failure should tell.
+    /// Returns the process status and the log so far, for failure messages.
     pub fn log_and_status(&self) -> String {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         format!("{:?}\n{}", stat, self.log.lock().unwrap())
     }
 
-    /// Waits until the log holds this text.
+    /// Waits until the log contains this text.
     pub fn wait_for_log(&self, text: &str) {
         let deadline = Instant::now() + TIMEOUT;
         while !self.log.lock().unwrap().contains(text) {
-            assert!(Instant::now() < deadline, "never logged: {text}");
+            assert!(Instant::now() < deadline, "not logged: {text}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// A client's connection.
+/// A client connection to the proxy.
 pub struct Client {
     pub stream: TcpStream,
     reader: Reader,
@@ -481,7 +481,7 @@
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// The next answer; `None` when the connection has ended.
+    /// Reads the next response; `None` if the connection has ended.
     pub fn next(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
@@ -495,7 +495,7 @@
         }
     }
 
-    /// Whether the other side has ended the connection.
+    /// Returns whether the proxy has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let ended = matches!(self.stream.peek(&mut [0]), Ok(0));
@@ -505,7 +505,7 @@
 
     pub fn request(&mut self, words: &[&str]) -> Value {
         self.send(words);
-        self.next().expect("an answer")
+        self.next().expect("connection closed without a response")
     }
 
     pub fn get(&mut self, key: &str, id: &str, wait: u64) -> Value {
@@ -517,7 +517,7 @@
     Value::Bulk(Some(text.as_bytes().to_vec()))
 }
 
-/// Whether it is a refusal that tells when to come back.
+/// Returns whether the response is a rejection with a retry delay.
 pub fn is_busy(value: &Value) -> bool {
     matches!(value, Value::Error(line) if line.starts_with(b"BUSY "))
 }
--- a/cli/tests/copies.rs
+++ b/cli/tests/copies.rs
@@ -1,5 +1,5 @@
-//! Replication and the negative cache of known-missing keys as processes: three members of a group and four proxies, each
-//! on a machine of its own, with one cache that keeps nothing and one origin, and faults between them.
+//! Replication and the negative cache with real processes: three group members, four proxies with a disk each, a backend
+//! that always misses and an origin, under process, network and disk faults.
 
 mod common;
 
@@ -23,17 +23,17 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_notchdoor");
 const SHARDS: u32 = 8;
-/// Fleets at once: more of them would be slow for each other, and who is slow is taken to be gone.
+/// Limits the number of fleets that run at the same time, since a proxy slowed by others would be considered down.
 static SLOTS: [Mutex<()>; 3] = [const { Mutex::new(()) }; 3];
 
-/// A fleet whose proxies hold replicas for each other.
+/// A fleet whose proxies replicate data to each other.
 struct ReplicatedFleet {
     group: Fleet,
     discovery: FakeDiscovery,
     proxies: Vec<Option<Proxy>>,
-    /// The link by which other nodes reach each.
+    /// For each proxy, the link on which other proxies reach it.
     peer_links: Vec<Link>,
-    /// Each proxy's links to the members.
+    /// For each proxy, its links to the group members.
     member_links: Vec<Vec<Link>>,
     _links: Links,
     _slot: MutexGuard<'static, ()>,
@@ -41,7 +41,7 @@
     ids: u64,
 }
 
-/// An origin that has what was written, and answers 404 for the rest.
+/// An origin that remembers the paths that were written, and answers 404 for others.
 fn storing_origin() -> FakeServer {
     let stored: Arc<Mutex<HashSet<String>>> = Arc::default();
     FakeServer::origin(Box::new(move |request| {
@@ -104,18 +104,18 @@
         fleet
     }
 
-    /// Waits until all shards have a primary and three replicas in sync.
+    /// Waits until every shard has a primary and three in-sync replicas.
     fn wait_until_in_sync(&mut self) {
-        self.wait_until("every shard has three copies in sync", |_, t| {
+        self.wait_until("every shard has three in-sync replicas", |_, t| {
             !t.shards().is_empty() && t.shards().iter().all(|s| s.in_sync.len() == 3 && s.primary.is_some())
         });
     }
 
-    /// Writes keys through a proxy until one has its receipt, and gives the time that it took.
+    /// Writes a key through a proxy until the write is acknowledged. Returns the time that this took.
     fn set_until_acknowledged(&mut self, n: usize, key: &str) -> Duration {
         let started = Instant::now();
         while !self.set(n, key) {
-            assert!(started.elapsed() < TIMEOUT, "no write of {key} has a receipt");
+            assert!(started.elapsed() < TIMEOUT, "no write of {key} was acknowledged");
         }
         started.elapsed()
     }
@@ -151,7 +151,7 @@
         self.peer_links.iter().position(|link| link.address() == peer)
     }
 
-    /// The proxy that is primary for a key's shard.
+    /// Returns the index of the proxy that is primary of a key's shard.
     fn primary(&self, key: &str) -> Option<usize> {
         let table = self.shard_map();
         let id = table.shards()[shard_of(key.as_bytes(), SHARDS) as usize].primary?;
@@ -162,7 +162,7 @@
         self.proxies[n].as_ref().unwrap().client()
     }
 
-    /// Reads a key through a proxy until it is not refused.
+    /// Reads a key through a proxy until the read is not rejected.
     fn get(&mut self, n: usize, key: &str) -> Value {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Writes a key through a proxy; whether it has a receipt.
+    /// Writes a key through a proxy and returns whether the write was acknowledged.
     fn set(&mut self, n: usize, key: &str) -> bool {
         self.ids += 1;
         let id = format!("id{}", self.ids);
@@ -183,13 +183,13 @@
         self.client(n).request(&["OBJ.SET", key, &id, &info, "v"]) == bulk(&id)
     }
 
-    /// Lookups of a key at the origin.
+    /// Returns the number of reads of a key that reached the origin.
     fn lookups(&self, key: &str) -> usize {
         let path = format!("/{key}");
         self.origin.requests().iter().filter(|r| r[0] == "GET" && r[1] == path).count()
     }
 
-    /// Reads a key that is not there until the origin is asked for it no more.
+    /// Reads a missing key until a read is answered without a request to the origin.
     fn wait_until_known_missing(&mut self, n: usize, key: &str) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -198,12 +198,12 @@
             if self.lookups(key) == before {
                 return;
             }
-            assert!(Instant::now() < deadline, "{key} is never known to be missing");
+            assert!(Instant::now() < deadline, "no tombstone for {key}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Kills a proxy's machine and empties its disk.
+    /// Kills a proxy and deletes its disk.
     fn lose_machine(&mut self, n: usize) {
         drop(self.proxies[n].take());
         std::fs::remove_dir_all(self.disk(n)).unwrap();
@@ -219,23 +219,22 @@
 #[test]
 fn missing_entries_and_writes_survive_the_loss_of_the_primary() {
     let mut fleet = ReplicatedFleet::start("machine");
-    // One lookup tells all proxies.
+    // After the first lookup, no proxy asks the origin again.
     assert_eq!(fleet.get(0, "ghost"), MISSING);
     fleet.wait_until_known_missing(1, "ghost");
     let lookups = fleet.lookups("ghost");
-    assert!(lookups <= 2, "{lookups} lookups, one of them before the entry was kept");
+    assert!(lookups <= 2, "{lookups} lookups");
     for n in 0..4 {
         assert_eq!(fleet.get(n, "ghost"), MISSING);
     }
     assert_eq!(fleet.lookups("ghost"), lookups);
-    // A write at a third proxy makes every proxy fetch it again.
-    assert!(fleet.set(2, "ghost"), "the write has its receipt");
+    // A write through a third proxy invalidates the tombstone for every proxy.
+    assert!(fleet.set(2, "ghost"), "the write was not acknowledged");
     for n in 0..4 {
         let value = fleet.get(n, "ghost");
         assert!(matches!(&value, Value::Bulk(Some(_))), "proxy {n}: {value:?}");
     }
-    // The machine of the shard's primary is lost with its disk. What was written is never missing again; what is known
-    // to be missing stays known.
+    // After the primary is lost with its disk, the written key is still found and the tombstone of the other key is kept.
     fleet.wait_until_known_missing(0, "ghoul");
     let lost = fleet.primary("ghoul").unwrap();
     fleet.lose_machine(lost);
@@ -247,12 +246,12 @@
             assert!(matches!(&value, Value::Bulk(Some(_))), "proxy {n}: {value:?}");
         }
     }
-    fleet.wait_until("all shards have a primary on another machine", |f, t| {
+    fleet.wait_until("all shards have a primary on another node", |f, t| {
         t.shards()
             .iter()
             .all(|s| s.primary.is_some_and(|p| t.nodes()[&p].at.peer != f.peer_links[lost].address()))
     });
-    // The new primary has to bring its replicas to its state first; from then on no lookup is made.
+    // The new primary synchronizes its replicas first; after that no read reaches the origin.
     fleet.wait_until_known_missing(other_proxies[0], "ghoul");
     let lookups = fleet.lookups("ghoul");
     for &n in &other_proxies {
@@ -264,7 +263,7 @@
         assert_ne!(fleet.get(n, "ghoul"), MISSING);
     }
     fleet.wait_until_in_sync();
-    // What operators are told.
+    // The operator commands report the state.
     let at: Vec<String> = fleet.group.operators().iter().map(|(_, at)| at.to_string()).collect();
     let run =
         |line: &[&str]| Command::new(PROGRAM).args(line).args(["--at", &at.join(",")]).output().unwrap();
@@ -284,19 +283,19 @@
     let paused = fleet.primary("ghost").unwrap();
     fleet.proxies[paused].as_ref().unwrap().signal("STOP");
     let other_proxies = fleet.other_proxies(paused);
-    fleet.wait_until("another is primary", |f, _| f.primary("ghost").is_some_and(|p| p != paused));
+    fleet.wait_until("another proxy is primary", |f, _| f.primary("ghost").is_some_and(|p| p != paused));
     let deadline = Instant::now() + TIMEOUT;
     while !fleet.set(other_proxies[0], "ghost") {
-        assert!(Instant::now() < deadline, "no write has a receipt");
+        assert!(Instant::now() < deadline, "no write was acknowledged");
     }
     fleet.proxies[paused].as_ref().unwrap().signal("CONT");
-    // From its first answer on, and however often it is asked.
+    // This holds for its first answer and for all later ones.
     for round in 0..40 {
         let value = fleet.get(paused, "ghost");
         assert_ne!(value, MISSING, "round {round}");
         std::thread::sleep(Duration::from_millis(10));
     }
-    // It was taken to be gone, and comes again as another start of the same disk.
+    // It was considered down and rejoins as a new start of the same disk.
     fleet.proxies[paused].as_ref().unwrap().wait_for_log("it comes again");
     fleet.wait_until_in_sync();
 }
@@ -317,8 +316,8 @@
     fleet.wait_until("every shard has a primary", |_, t| t.shards().iter().all(|s| s.primary.is_some()));
     let lookups = fleet.lookups("ghost");
     fleet.wait_until_known_missing(0, "ghost");
-    // Until its shard served again the origin was asked as ever; the entry itself was on the disks.
-    assert!(fleet.lookups("ghost") <= lookups + 4, "{} lookups more", fleet.lookups("ghost") - lookups);
+    // Reads reach the origin only until the shard serves again, since the tombstone was on disk.
+    assert!(fleet.lookups("ghost") <= lookups + 4, "{} additional lookups", fleet.lookups("ghost") - lookups);
     for n in 0..4 {
         assert_ne!(fleet.get(n, "there"), MISSING);
         assert_eq!(fleet.get(n, "ghost"), MISSING);
@@ -338,11 +337,11 @@
         assert!(fleet.set(n % 4, &format!("k{n}")), "write {n}");
     }
     let after = group_progress(&fleet);
-    // On a busy machine a replica may be gone on without, or a leader elected: entries of those own changes.
+    // On a busy machine a backup may be removed from the in-sync set or a leader elected, which appends entries.
     let (entries, changes) = (after.0 - before.0, after.1 - before.1 + after.2 - before.2);
     assert!(
         entries <= 2 + 3 * changes && entries < writes as u64 / 2,
-        "{entries} entries of the group's log for {writes} kept writes and {changes} changes"
+        "{entries} group log entries for {writes} writes and {changes} configuration changes"
     );
 }
 
@@ -351,10 +350,10 @@
     let mut fleet = ReplicatedFleet::start("group");
     fleet.wait_until_known_missing(0, "ghost");
     let partitioned = fleet.primary("ghost").unwrap();
-    // Its clients and the other nodes reach it all the same.
+    // Its clients and the other proxies still reach it.
     fleet.member_links[partitioned].iter().for_each(|link| link.set_both(Flow::Held));
     let other_proxies = fleet.other_proxies(partitioned);
-    fleet.wait_until("another is primary", |f, _| f.primary("ghost").is_some_and(|p| p != partitioned));
+    fleet.wait_until("another proxy is primary", |f, _| f.primary("ghost").is_some_and(|p| p != partitioned));
     fleet.set_until_acknowledged(other_proxies[0], "ghost");
     for round in 0..20 {
         let value = fleet.get(partitioned, "ghost");
@@ -379,20 +378,20 @@
     };
     let writer = fleet.primary(key).unwrap();
     fleet.set_until_acknowledged(writer, key);
-    // Half a cut: what others say to it stays in the link, what it says itself is heard.
+    // One-way partition: frames to the backup are held in the link, frames from it arrive.
     fleet.peer_links[backup].set(Way::There, Flow::Held);
     let took = fleet.set_until_acknowledged(writer, key);
-    // It is gone on without after a second of silence, and a new epoch is begun then.
+    // The backup is removed after one second without an answer, and a new epoch begins.
     assert!(took < Duration::from_secs(5), "a write took {took:?}");
     let backup_address = fleet.peer_links[backup].address();
-    fleet.wait_until("it is out of sync", |_, t| {
+    fleet.wait_until("the backup is out of sync", |_, t| {
         let shard = &t.shards()[shard_of(key.as_bytes(), SHARDS) as usize];
         !shard.in_sync.iter().any(|id| t.nodes()[id].at.peer == backup_address)
     });
-    // All that was fleet comes at once, late and of another epoch, and changes nothing.
+    // The held frames arrive late and belong to an old epoch, so they have no effect.
     fleet.peer_links[backup].set(Way::There, Flow::Open);
     fleet.wait_until_in_sync();
-    // Every frame late, and connections reset in between: writes are slow, and none is lost.
+    // With delayed frames and connection resets, writes are slow and none is lost.
     fleet.peer_links.iter().for_each(|link| link.set_both(Flow::Delayed(60)));
     for n in 0..12 {
         fleet.set_until_acknowledged(n % 4, &format!("late-{n}"));
@@ -414,9 +413,9 @@
     for id in &ids {
         fleet.group.members.get_mut(id).unwrap().pause().unwrap();
     }
-    // Longer than any word of the group is good: from here on no receipt, and reads ask the origin as ever.
+    // All confirmations of the group have expired: no write is acknowledged, and reads reach the origin.
     std::thread::sleep(Duration::from_millis(1_500));
-    assert!(!fleet.set(2, "ghost"), "a receipt without a confirmed shard");
+    assert!(!fleet.set(2, "ghost"), "acknowledged without a confirmed shard");
     for n in 0..4 {
         assert_ne!(fleet.get(n, "there"), MISSING);
     }
@@ -442,14 +441,14 @@
     let file = fleet.disk(damaged).join("copies.redb");
     let mut bytes = std::fs::read(&file).unwrap();
     let places: Vec<usize> = (0..bytes.len() - 5).filter(|n| &bytes[*n..*n + 5] == b"ghost").collect();
-    assert!(!places.is_empty(), "the entry is on the disk of its shard's primary");
+    assert!(!places.is_empty(), "the tombstone is not on the primary's disk");
     places.iter().for_each(|n| bytes[*n] = b'G');
     std::fs::write(&file, bytes).unwrap();
     let restarted = proxy.start_successor(&fleet.discovery);
     restarted.wait_for_log("the store is damaged, it is put aside");
     fleet.proxies[damaged] = Some(restarted);
     fleet.wait_until_in_sync();
-    // Once its shards serve again what is known is known, and what was written is there.
+    // Once the shards serve again, the tombstone and the written key are still there.
     fleet.wait_until_known_missing(0, "ghost");
     let lookups = fleet.lookups("ghost");
     for n in 0..4 {
@@ -466,7 +465,7 @@
     let full = fleet.primary("ghost").unwrap();
     let pid = fleet.proxies[full].as_ref().unwrap().child.id();
     full_disk(pid, true).unwrap();
-    // Whatever it is replica of needs its disk: it says so, promises nothing more and is replaced.
+    // A replica needs its disk for every write: it logs the failure, acknowledges nothing more and is replaced.
     let other_proxies = fleet.other_proxies(full);
     let took = fleet.set_until_acknowledged(other_proxies[0], "ghost");
     assert!(took < Duration::from_secs(10), "a write took {took:?}");
@@ -481,7 +480,7 @@
     for n in 0..8 {
         fleet.set_until_acknowledged(n % 4, &format!("after-{n}"));
     }
-    // With room again and a start it is a replica as before.
+    // Restarted with free space it becomes a replica again.
     let mut proxy = fleet.proxies[full].take().unwrap();
     proxy.child.kill().unwrap();
     proxy.child.wait().unwrap();
@@ -502,7 +501,7 @@
     let started = Instant::now();
     let other_proxies = fleet.other_proxies(full);
     fleet.set_until_acknowledged(other_proxies[0], "ghost");
-    // Its own clients are served meanwhile, by the copies of others.
+    // Its own clients are served from the replicas of other proxies meanwhile.
     fleet.set_until_acknowledged(full, "meanwhile");
     assert!(matches!(&fleet.get(full, "ghost"), Value::Bulk(Some(_))));
     fleet.proxies[full].as_ref().unwrap().wait_for_log("the disk failed, this node promises nothing more");
@@ -510,12 +509,12 @@
     full_disk(pid, false).unwrap();
     fleet.proxies[full].as_ref().unwrap().wait_for_log("the store is well again");
     fleet.wait_until_in_sync();
-    // It holds replicas as before: with another machine gone, the three that are left need it for each shard.
+    // With another proxy lost, every shard needs a replica on each of the three that remain.
     let lost = fleet.primary("ghost").unwrap();
-    assert_ne!(lost, full, "all shards have three other machines");
+    assert_ne!(lost, full, "the proxy with the full disk is primary again");
     fleet.lose_machine(lost);
     let node = fleet.peer_links[full].address();
-    fleet.wait_until("it is in sync everywhere", |_, t| {
+    fleet.wait_until("the proxy is in sync for every shard", |_, t| {
         let is_node = |id: &u64| t.nodes()[id].at.peer == node;
         t.shards().iter().all(|s| s.primary.is_some() && s.in_sync.iter().any(is_node))
     });
@@ -533,17 +532,18 @@
     fleet.set_until_acknowledged(0, "ghost");
     let full = fleet.primary("ghost").unwrap();
     let proxy = fleet.proxies[full].as_ref().unwrap();
-    // Paused for longer than its confirmation holds: it has to come again as another start, which its disk refuses.
+    // Paused past its confirmation, the proxy has to rejoin as a new start, which its full disk prevents.
     full_disk(proxy.child.id(), true).unwrap();
     proxy.signal("STOP");
-    fleet.wait_until("another is primary", |f, _| f.primary("ghost").is_some_and(|p| p != full));
+    fleet.wait_until("another proxy is primary", |f, _| f.primary("ghost").is_some_and(|p| p != full));
     fleet.proxies[full].as_ref().unwrap().signal("CONT");
     fleet.proxies[full].as_ref().unwrap().wait_for_log("it comes again");
-    // Primaries move once more, and its clients find them.
+    // After another change of primaries, requests of its clients still reach them.
     let moved = fleet.primary("ghost").unwrap();
     fleet.lose_machine(moved);
-    fleet
-        .wait_until("a third is primary", |f, _| f.primary("ghost").is_some_and(|p| p != full && p != moved));
+    fleet.wait_until("a third proxy is primary", |f, _| {
+        f.primary("ghost").is_some_and(|p| p != full && p != moved)
+    });
     fleet.set_until_acknowledged(full, "ghost");
     fleet.wait_until_known_missing(full, "ghoul");
 }
--- a/cli/tests/crossings.rs
+++ b/cli/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! What comes between two steps: a client that leaves, a request, an answer, a list or a signal at the wrong moment.
-//! Each test holds one side at the point. docs/audit-findings.md has the table that names them.
+//! Races between two steps of the proxy: a client disconnect, request, answer, endpoint update or signal that arrives in
+//! between. Each test blocks one side at that point. docs/audit-findings.md lists the races.
 
 mod common;
 use common::*;
@@ -11,16 +11,17 @@
 use std::time::{Duration, Instant};
 
 const READ: &str = "c=read,t=acme,d=2000";
-/// Soon: well before any request's time is over.
+/// Upper bound for cancelling an attempt after its client has disconnected; well below any request's deadline.
 const MAX_CANCEL_DELAY: Duration = Duration::from_millis(900);
 
-/// A worker or an origin that the test plays: what was asked as it came, and the connection that waits for an answer.
+/// A backend or an origin whose responses the test writes itself. `requests` receives the first request of each connection
+/// and the connection.
 struct ManualServer {
     endpoint: SocketAddr,
     requests: Receiver<(String, TcpStream)>,
 }
 
-/// Whether a worker's command, or the head of a request to an origin or a registry, is whole.
+/// Returns whether these bytes contain a whole backend command or the whole head of an HTTP request.
 fn is_complete(bytes: &[u8]) -> bool {
     let mut reader = Reader::default();
     reader.feed(bytes);
@@ -28,7 +29,7 @@
         || bytes.starts_with(b"*") && matches!(reader.next_value(), Ok(Some(_)))
 }
 
-/// What comes first on a connection, if anything does before its end.
+/// Reads the first request of a connection; empty if the connection ends before it.
 fn read_request(stream: &mut TcpStream) -> String {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     while !is_complete(&bytes) {
@@ -64,7 +65,7 @@
     }
 
     fn next(&self) -> (String, TcpStream) {
-        self.requests.recv_timeout(TIMEOUT).expect("asked")
+        self.requests.recv_timeout(TIMEOUT).expect("no request received")
     }
 
     fn received_nothing_more(&self) -> bool {
@@ -72,7 +73,7 @@
     }
 }
 
-/// A peer whose queue of connections is full: one that is begun now comes up about a second later, once there is room.
+/// A server whose accept backlog is full: a new connection is established about a second later, once there is room.
 struct FullBacklogServer {
     listener: Socket,
     endpoint: SocketAddr,
@@ -103,10 +104,10 @@
         while let Ok(stream) = TcpStream::connect_timeout(&self.endpoint, Duration::from_millis(100)) {
             self.fillers.push(stream);
         }
-        assert!(!self.fillers.is_empty(), "the queue takes one");
+        assert!(!self.fillers.is_empty(), "the backlog accepted no connection");
     }
 
-    /// Makes room, and gives the connection that comes up late.
+    /// Drains the backlog and returns the connection that is established late.
     fn accept_after_backlog(&mut self) -> TcpStream {
         for _ in 0..self.fillers.len() {
             drop(self.accept());
@@ -115,7 +116,7 @@
     }
 }
 
-/// Settings in which a connection may take longer to come up than the proxy's own retransmission of its first packet.
+/// Settings with a connect timeout longer than the retransmission interval of a SYN, and with this deduplication window.
 fn settings_with_slow_connects(window_ms: u32) -> String {
     settings()
         .replace("\"connectTimeout\":150.0", "\"connectTimeout\":1700.0")
@@ -126,31 +127,30 @@
     Proxy::with_files(discovery, list, (1024, 192), &[("settings.json", settings)])
 }
 
-/// Waits until the proxy has begun so many connections to workers and the origin: it counts one in the step in which its
-/// first packet goes out.
+/// Waits until the proxy has started this many connections to servers. It counts a connection when its SYN is sent.
 fn wait_for_connections(proxy: &Proxy, connections: u32) {
     let deadline = Instant::now() + TIMEOUT;
     while !proxy.log_and_status().contains(&format!(" opened={connections} ")) {
-        assert!(Instant::now() < deadline, "never connects");
+        assert!(Instant::now() < deadline, "the proxy did not connect");
         proxy.signal("USR1");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Waits for the end of a connection without another byte: how long that took.
+/// Waits until a connection ends without another byte. Returns the time that this took.
 fn wait_for_close(stream: &mut TcpStream) -> Duration {
     let started = Instant::now();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     match stream.read(&mut [0; 64]) {
         Ok(0) => {}
         Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
-        other => panic!("neither an end nor silence: {other:?}"),
+        other => panic!("expected the end of the connection, got {other:?}"),
     }
     started.elapsed()
 }
 
 fn deadline_ms(text: &str) -> u64 {
-    let (_, rest) = text.split_once("d=").expect("d is told");
+    let (_, rest) = text.split_once("d=").expect("no deadline in the command");
     rest.chars().take_while(char::is_ascii_digit).collect::<String>().parse().unwrap()
 }
 
@@ -162,7 +162,7 @@
     client.send(&["OBJ.GET", "k", "id1", READ]);
     let (first, mut backend_stream) = backend.next();
     let first_deadline_ms = deadline_ms(&first);
-    // A little is kept back, so that the answer at the end of that time is not on its way when the client gives up.
+    // The forwarded deadline is shortened slightly, so that a final answer reaches the client before its deadline.
     assert!((1_500..=1_990).contains(&first_deadline_ms), "{first}");
     std::thread::sleep(Duration::from_millis(300));
     backend_stream.write_all(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n").unwrap();
@@ -177,7 +177,7 @@
     let (discovery, backend, origin) = (FakeDiscovery::start(), ManualServer::start(), ManualServer::start());
     let proxy = Proxy::start(&discovery, &[backend.endpoint_entry("w"), origin.endpoint_entry("o")]);
     let mut client = proxy.client();
-    // More than one connection may be owed: the rest is read and waits for its turn.
+    // More requests than a connection may have in flight: the rest is read and queued.
     for n in 0..200 {
         client.send(&["OBJ.GET", &format!("k{n}"), &format!("id{n}"), READ]);
     }
@@ -185,10 +185,10 @@
     while !backend.received_nothing_more() {}
     while !origin.received_nothing_more() {}
     drop(client);
-    assert!(wait_for_close(&mut first) < MAX_CANCEL_DELAY, "its attempt goes on");
+    assert!(wait_for_close(&mut first) < MAX_CANCEL_DELAY, "the attempt was not cancelled");
     assert!(
         backend.received_nothing_more() && origin.received_nothing_more(),
-        "sent on for a client that has left"
+        "forwarded for a disconnected client"
     );
 }
 
@@ -203,7 +203,7 @@
     proxy.signal("USR1");
     proxy.wait_for_log("counters: taken=1");
     drop(client);
-    assert!(wait_for_close(&mut attempt) < MAX_CANCEL_DELAY, "its attempt goes on");
+    assert!(wait_for_close(&mut attempt) < MAX_CANCEL_DELAY, "the attempt was not cancelled");
     assert!(backend.received_nothing_more() && origin.received_nothing_more());
 }
 
@@ -218,7 +218,7 @@
     client.send(&["OBJ.SET", "k", "id1", "c=fix,t=acme,d=2000,k=5c", "v"]);
     wait_for_connections(&proxy, 1);
     drop(client);
-    assert_eq!(read_request(&mut origin.accept_after_backlog()), "", "the client has been gone for long");
+    assert_eq!(read_request(&mut origin.accept_after_backlog()), "", "sent for a disconnected client");
 }
 
 #[test]
@@ -237,9 +237,9 @@
     assert_eq!(
         read_request(&mut origin.accept_after_backlog()),
         "",
-        "a second after the first: it would be carried out twice"
+        "retried after the deduplication window"
     );
-    let answer = client.next().expect("an answer");
+    let answer = client.next().expect("connection closed without a response");
     assert!(is_busy(&answer) || matches!(answer, Value::Error(_)), "{answer:?}");
 }
 
@@ -255,11 +255,7 @@
     wait_for_connections(&proxy, 1);
     discovery.send_update(42, &[backend.endpoint_entry("w", unix_ms())]);
     proxy.wait_for_log("version 42");
-    assert_eq!(
-        read_request(&mut backend.accept_after_backlog()),
-        "",
-        "it was chosen for a process that is no more"
-    );
+    assert_eq!(read_request(&mut backend.accept_after_backlog()), "", "sent to a backend that has restarted");
 }
 
 #[test]
@@ -272,14 +268,11 @@
     attempt.write_all(&hit_response("id1").unwrap()).unwrap();
     assert_eq!(client.next(), Some(bulk("id1")));
     proxy.signal("TERM");
-    assert_eq!(client.stream.peek(&mut [0]).unwrap(), 0, "the proxy's side has ended");
+    assert_eq!(client.stream.peek(&mut [0]).unwrap(), 0, "the proxy has not closed its side");
     client.send(&["OBJ.GET", "k", "id2", READ]);
-    assert!(
-        backend.received_nothing_more() && origin.received_nothing_more(),
-        "read after the end, and sent on"
-    );
-    // After a reset no more could be written.
-    client.stream.write_all(b"*4\r\n").expect("read on, and not reset");
+    assert!(backend.received_nothing_more() && origin.received_nothing_more(), "forwarded after the close");
+    // After a reset this write would fail.
+    client.stream.write_all(b"*4\r\n").expect("the proxy reset the connection");
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     drop(client);
     let (exited_cleanly, log) = proxy.wait_for_exit();
@@ -299,7 +292,7 @@
     client.send(&["OBJ.GET", "k0", "id0", READ]);
     let (mut asked, mut answered, mut stopping) = (1, 0, None);
     loop {
-        // The next one is sent before the last is answered: the connection is never idle.
+        // Each request is sent before the previous one is answered, so the connection is never idle.
         client.send(&["OBJ.GET", &format!("k{asked}"), &format!("id{asked}"), READ]);
         asked += 1;
         let Some(answer) = client.next() else { break };
@@ -310,7 +303,10 @@
             stopping = Some(Instant::now());
         }
     }
-    assert!(stopping.expect("stopped").elapsed() < Duration::from_secs(2), "up to the kill");
+    assert!(
+        stopping.expect("the proxy closed the connection before SIGTERM").elapsed() < Duration::from_secs(2),
+        "shutdown took too long"
+    );
     drop(client);
     let (exited_cleanly, log) = proxy.wait_for_exit();
     assert!(exited_cleanly && log.contains("stopped with every request answered"), "{log}");
@@ -326,8 +322,8 @@
     let _held = backend.next();
     proxy.signal("TERM");
     let started = Instant::now();
-    assert!(is_busy(&client.next().expect("an answer")));
-    assert!(started.elapsed() < Duration::from_millis(3_700), "killed by now");
+    assert!(is_busy(&client.next().expect("connection closed without a response")));
+    assert!(started.elapsed() < Duration::from_millis(3_700), "answered too late");
     drop(client);
     let (exited_cleanly, log) = proxy.wait_for_exit();
     assert!(exited_cleanly && log.contains("stopped with every request answered"), "{log}");
@@ -369,7 +365,7 @@
     assert_eq!(first.call("POST", "/_cache-nodes/detach", "a").map(|(status, _)| status), Some(200));
     assert_eq!(first.metrics()["cache_nodes_excluded"], 1);
     let folder = std::sync::Arc::clone(&first.folder);
-    // Killed: nothing is tidied up.
+    // Killed, so that the state file remains.
     drop(first);
     let (name, path) = ("notchdoor", folder.0.join("config"));
     let text = std::fs::read_to_string(&path).unwrap();
@@ -385,11 +381,11 @@
     let before = std::fs::read(folder.0.join(&left[0])).unwrap();
     std::fs::write(&path, text.replace("\"acme\"", "\"other\"")).unwrap();
     let other = Proxy::restart(&discovery, std::sync::Arc::clone(&folder));
-    assert_eq!(other.metrics()["cache_nodes_excluded"], 0, "the other customer's worker is out here");
+    assert_eq!(other.metrics()["cache_nodes_excluded"], 0, "a backend of the other deployment is excluded");
     other.wait_for_log("is of another deployment and left alone");
     drop(other);
     assert_eq!(std::fs::read(folder.0.join(&left[0])).unwrap(), before);
-    // The first one's own next process finds what it left.
+    // A restart with the first configuration restores the state.
     std::fs::write(&path, text).unwrap();
     assert_eq!(Proxy::restart(&discovery, folder).metrics()["cache_nodes_excluded"], 1);
 }
@@ -420,7 +416,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let (backend, origin) = (ManualServer::start(), ManualServer::start());
     let discovery = FakeDiscovery::external(silent.local_addr().unwrap());
-    // Ready, since nobody tells it more; the call to the registry is still out.
+    // It becomes ready with the known list while the request to discovery is still pending.
     let first = Proxy::start(&discovery, &[backend.endpoint_entry("w"), origin.endpoint_entry("o")]);
     let folder = std::sync::Arc::clone(&first.folder);
     drop(first);
@@ -449,7 +445,7 @@
     let watch = watches.recv_timeout(TIMEOUT).unwrap();
     let _idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(proxy.listen).unwrap()).collect();
     drop(watch);
-    let mut watch = watches.recv_timeout(TIMEOUT).expect("a new watch");
+    let mut watch = watches.recv_timeout(TIMEOUT).expect("no new watch");
     let line = endpoint_entry_at("w", backend.endpoint, "terminating", 0);
     let json = format!("{{\"rev\":43,\"all\":false,\"targets\":[{line}]}}\n");
     write!(watch, "{:x}\r\n{json}\r\n", json.len()).unwrap();
@@ -472,7 +468,7 @@
     wait_for_connections(&proxy, 1);
     proxy.signal("TERM");
     proxy.wait_for_log("stopping on");
-    // Past the time at which a stop reads nothing new.
+    // By now the stopping proxy reads no new requests.
     std::thread::sleep(Duration::from_millis(900));
     client.stream.write_all(format!("{half}\r\n").as_bytes()).unwrap();
     assert_eq!(client.next(), Some(bulk("id1")));
--- a/cli/tests/group.rs
+++ b/cli/tests/group.rs
@@ -1,5 +1,5 @@
-//! The lease group as processes, with faults between them: after each, the record of the stand-in
-//! that the holders act on must show one holder at a time and tokens that only grow.
+//! The lease group with real processes under process and network faults. After each, the record of the resource that the
+//! lease holders act on must show one holder at a time and non-decreasing fencing tokens.
 
 mod common;
 
@@ -16,8 +16,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// No wait is longer: a test that would hang fails instead. Far beyond a TTL and an election, since a busy machine
-/// must not change what a test sees.
+/// Upper bound of every wait; much longer than a TTL plus an election, so that a busy machine fails no test.
 const TIMEOUT: Duration = Duration::from_secs(30);
 const TTL: Duration = Duration::from_millis(1_500);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_notchdoor");
@@ -27,7 +26,7 @@
     Plan { ttl_ms: TTL.as_millis() as u64, ..Plan::new(PROGRAM, folder) }
 }
 
-/// A fleet, the proxy that holds its task, and how far the record is.
+/// Starts a fleet. Returns it with the index of the lease holder and the current length of the resource's record.
 fn start_with_holder(plan: Plan) -> (Fleet, usize, usize) {
     let mut fleet = Fleet::start(plan).unwrap();
     let (holder, _) = fleet.acts("warm", 0, TIMEOUT, |_| true).unwrap();
@@ -36,7 +35,7 @@
 }
 
 fn check_record(fleet: &mut Fleet) -> Checked {
-    fleet.check().unwrap_or_else(|error| panic!("{error}; the logs are in {}", fleet.folder().display()))
+    fleet.check().unwrap_or_else(|error| panic!("{error}; logs in {}", fleet.folder().display()))
 }
 
 fn run_command(fleet: &Fleet, line: &[&str]) -> Output {
@@ -53,15 +52,16 @@
     sleep(2 * TTL);
     let place = fleet.place();
     fleet.proxies[holder].resume().unwrap();
-    // What it had in hand when it was paused comes now, and the fence is there for it; it acts no more.
+    // An action that was in progress when it was paused may arrive now and is refused by the fence; no other follows.
     sleep(TTL);
     let late = fleet.resource.since(place);
     assert!(late.iter().all(|a| a.token != old || !a.admitted), "{late:?}");
-    assert!(late.iter().any(|a| a.admitted), "the new holder goes on");
+    assert!(late.iter().any(|a| a.admitted), "the new holder does not act");
     assert!(check_record(&mut fleet).handovers >= 1);
 }
 
-/// A holder's next action is on its way, and stays there, while its lease runs out and another acts; then it comes.
+/// Starts a fleet, holds an action of the lease holder in the network until its lease has expired and another proxy has
+/// acted, and then lets it arrive.
 fn start_with_delayed_action(plan: Plan) -> (Fleet, usize, usize) {
     let (mut fleet, holder, _) = start_with_holder(plan);
     fleet.act(holder).set(Way::There, Flow::Held);
@@ -77,12 +77,12 @@
 fn action_delayed_past_lease_expiry_is_refused_by_the_fence() {
     let (mut fleet, holder, place) = start_with_delayed_action(plan("late"));
     let refused = fleet
-        .until("the late action", TIMEOUT, |f| f.resource.since(place).into_iter().find(|a| !a.admitted));
+        .until("the delayed action", TIMEOUT, |f| f.resource.since(place).into_iter().find(|a| !a.admitted));
     assert_eq!(proxy_of(&refused.unwrap().holder), Some(holder));
     assert!(check_record(&mut fleet).refused >= 1);
 }
 
-/// The broken variant that the checker has to catch: a stand-in that keeps no fence.
+/// The checker must detect a resource that does not check fencing tokens.
 #[test]
 fn checker_reports_a_delayed_action_if_fencing_is_off() {
     let mut open = plan("open");
@@ -90,7 +90,7 @@
     let (mut fleet, holder, place) = start_with_delayed_action(open);
     let late =
         |f: &mut Fleet| f.resource.since(place).into_iter().find(|a| proxy_of(&a.holder) == Some(holder));
-    fleet.until("the late action", TIMEOUT, late).unwrap();
+    fleet.until("the delayed action", TIMEOUT, late).unwrap();
     let error = fleet.check().unwrap_err();
     assert!(error.starts_with("admitted token decreased"), "{error}");
     fleet.keep = false;
@@ -98,13 +98,13 @@
 
 #[test]
 fn holder_that_cannot_send_to_the_group_stops_before_its_successor_acts() {
-    // It reaches the stand-in as before, and nobody of the group hears it.
+    // Its requests still reach the resource, but not the group.
     check_one_way_partition("mute", Way::There);
 }
 
 #[test]
 fn holder_that_cannot_receive_from_the_group_stops_before_its_successor_acts() {
-    // The group hears it, and it does not know.
+    // Its requests reach the group, but it receives no answers.
     check_one_way_partition("deaf", Way::Back);
 }
 
@@ -119,7 +119,7 @@
     let of_old = record.iter().filter(|a| a.admitted && proxy_of(&a.holder) == Some(holder));
     let last = of_old.map(|a| a.ended).max().unwrap_or(0);
     assert!(last < first.began, "the old holder acted until {last}, the new one from {}", first.began);
-    // Healed, it is one among the others again.
+    // After the partition heals, it can hold the lease again.
     fleet.heal();
     fleet.proxies[next].kill().unwrap();
     let place = fleet.place();
@@ -133,7 +133,7 @@
     let leader = fleet.leader(None, TIMEOUT).unwrap();
     fleet.around(leader, Flow::Held, Flow::Held);
     let next = fleet.leader(Some(leader), TIMEOUT).unwrap();
-    // What it is asked it does not grant, though it may believe for an election's time that it leads.
+    // It may believe that it leads until an election timeout has passed, but it grants nothing.
     let isolated: Vec<_> = fleet.operators().into_iter().filter(|(id, _)| *id == leader).collect();
     let request = Request::Lease(notchdoor_coordination::lease::Command::Acquire {
         task: "probe".into(),
@@ -142,7 +142,7 @@
     });
     let answer = async_io::block_on(notchdoor_proxy::group::ask::once(isolated[0].1, &request));
     assert!(!matches!(answer, Ok(Answer::Done { .. })), "{answer:?}");
-    // The majority goes on granting: the holder keeps its task, or another gets it.
+    // The majority continues to grant: the holder keeps the lease, or another proxy gets it.
     let place = fleet.place();
     fleet.acts("warm", place, TIMEOUT, |_| true).unwrap();
     fleet.proxies[holder].kill().unwrap();
@@ -175,11 +175,12 @@
     fleet.members.get_mut(&lost).unwrap().kill().unwrap();
     fleet.empty(lost).unwrap();
     fleet.start_member(lost).unwrap();
-    let ended = fleet.members.get_mut(&lost).unwrap().wait(TIMEOUT).unwrap().expect("it does not go on");
+    let ended =
+        fleet.members.get_mut(&lost).unwrap().wait(TIMEOUT).unwrap().expect("the member is still running");
     assert_eq!(ended.code(), Some(2));
     let log = fleet.members[&lost].log();
     assert!(log.contains("was enlisted with a different store, and its votes are lost"), "{log}");
-    // A new one by the operators' commands, while the fleet works on.
+    // Replace it by operator commands while the fleet is running.
     let removed = run_command(&fleet, &["coord", "remove", "--id", &lost.to_string()]);
     assert!(removed.status.success(), "{removed:?}");
     let others: Vec<u64> = (1..=3).filter(|id| *id != lost).collect();
@@ -192,8 +193,8 @@
     let votes = run_command(&fleet, &[&add[..], &["--wait", "--within", "30"]].concat());
     assert!(votes.status.success(), "{votes:?}");
     let reused = run_command(&fleet, &["coord", "add", "--id", "2", "--peer", &client, "--client", &peer]);
-    assert_eq!(reused.status.code(), Some(2), "an id is not used twice: {reused:?}");
-    // Two of the three that vote now are enough, the new one among them.
+    assert_eq!(reused.status.code(), Some(2), "a used id was accepted: {reused:?}");
+    // Two of the three voters suffice, including the new one.
     fleet.members.get_mut(&leader).unwrap().kill().unwrap();
     fleet.proxies[holder].kill().unwrap();
     let place = fleet.place();
@@ -206,7 +207,7 @@
     let tasks: Vec<String> = ["warm", "probe", "registry", "sweep"].map(str::to_owned).into();
     let mut fleet =
         Fleet::new(Plan { proxies: 8, tasks: tasks.clone(), ttl_ms: 6_000, ..plan("instant") }).unwrap();
-    // All proxies wait for the group, and ask as soon as it is there.
+    // All proxies wait for the group and request the leases as soon as it starts.
     for proxy in 0..8 {
         fleet.start_proxy(proxy).unwrap();
     }
@@ -228,16 +229,16 @@
     for id in [1, 2] {
         fleet.members.get_mut(&id).unwrap().kill().unwrap();
     }
-    // The holder's lease runs out, and there is nobody to grant another.
+    // The lease expires and no other can be granted.
     sleep(TTL + Duration::from_millis(500));
     let place = fleet.place();
     sleep(TTL);
-    assert_eq!(fleet.resource.since(place), [], "nobody acts without a lease");
+    assert_eq!(fleet.resource.since(place), [], "acted without a lease");
     for id in [1, 2] {
         fleet.start_member(id).unwrap();
     }
     fleet.acts("warm", place, TIMEOUT, |_| true).unwrap();
-    // The tokens went on from where they were.
+    // The fencing tokens continue from their previous value.
     let checked = check_record(&mut fleet);
     assert_eq!(checked.refused, 0);
     assert!(fleet.proxies[holder].runs());
@@ -248,12 +249,12 @@
     let (mut fleet, holder, start) = start_with_holder(plan("rolling"));
     let token = fleet.resource.record()[0].token;
     for id in 1..=3 {
-        // In order, with the lead handed over; the last one by a kill.
+        // The first two stop gracefully and transfer leadership; the last one is killed.
         let member = fleet.members.get_mut(&id).unwrap();
         if id == 3 {
             member.kill().unwrap();
         } else {
-            let ended = member.stop(TIMEOUT).unwrap().expect("it stops");
+            let ended = member.stop(TIMEOUT).unwrap().expect("the member did not stop");
             assert_eq!(ended.code(), Some(0));
         }
         fleet.start_member(id).unwrap();
@@ -289,11 +290,11 @@
     assert_eq!(status.as_array().map(Vec::len), Some(3), "{status}");
     for event in ["leader", "grant", "renewal", "revocation", "release"] {
         let lines = fleet.members[&leader].events(event);
-        assert!(!lines.is_empty(), "no line for a {event}");
+        assert!(!lines.is_empty(), "no log line for {event}");
     }
     let grant = &fleet.members[&leader].events("grant")[0];
     assert_eq!((grant["token"].as_u64(), grant["task"].as_str()), (Some(token), Some("warm")), "{grant}");
-    // An expiry and a fence's refusal have theirs, too.
+    // An expiry is logged too.
     let (next, _) = fleet.acts("warm", place, TIMEOUT, |p| p != holder).unwrap();
     fleet.proxies[next].kill().unwrap();
     let place = fleet.place();
@@ -339,7 +340,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Clients are served the same with the group there, paused and gone; the log says so once.
+/// Requests are served while the group is running, paused or gone; the loss is logged once.
 #[test]
 fn requests_are_served_while_the_group_is_paused_or_gone() {
     let mut fleet = Fleet::start(Plan { proxies: 0, ..plan("data-path") }).unwrap();
@@ -377,10 +378,10 @@
     assert_eq!(log.matches("serving goes on without").count(), 1, "{log}");
     let place = fleet.place();
     sleep(TTL);
-    assert_eq!(fleet.resource.since(place), [], "the fleet's task rests");
+    assert_eq!(fleet.resource.since(place), [], "acted without a lease");
 }
 
-/// What `lab faults --processes` plays, a few fixed ones.
+/// A few fixed schedules of those that `lab faults --processes` runs.
 #[test]
 fn random_fault_schedules_keep_one_holder_per_task() {
     let schedules: Vec<_> = (1..=6).map(notchdoor_lab::leases::search::schedule).collect();
@@ -391,16 +392,19 @@
 
 #[test]
 fn slow_links_of_one_follower_do_not_move_the_lease() {
-    // A busy machine must not make a holder lose its lease here.
+    // A long TTL, so that a busy machine does not make the holder lose its lease.
     let (mut fleet, holder, _) = start_with_holder(Plan { ttl_ms: 6_000, ..plan("slow") });
     let leader = fleet.leader(None, TIMEOUT).unwrap();
     let slow = (1..=3).find(|id| *id != leader).unwrap();
     fleet.around(slow, Flow::Delayed(120), Flow::Slow(2_000));
     let place = fleet.place();
-    // Some renewals long.
+    // Long enough for several renewals.
     sleep(Duration::from_secs(6));
     let acted = fleet.resource.since(place);
-    assert!(acted.iter().all(|a| proxy_of(&a.holder) == Some(holder)), "the other two are a majority");
+    assert!(
+        acted.iter().all(|a| proxy_of(&a.holder) == Some(holder)),
+        "the lease moved although the other two members are a majority"
+    );
     assert!(acted.len() > 20, "{}", acted.len());
     check_record(&mut fleet);
 }
--- a/cli/tests/large.rs
+++ b/cli/tests/large.rs
@@ -1,4 +1,4 @@
-//! Large values with real sockets: passed on as they come, whole or visibly cut, in bounded memory.
+//! Large values over real sockets: streamed in bounded memory, and delivered whole or visibly truncated.
 
 mod common;
 use common::*;
@@ -10,13 +10,13 @@
 
 const VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A byte of a value, by its place and its value's key.
+/// Returns the expected byte at this offset of a key's value.
 fn byte_at(key: u8, at: usize) -> u8 {
     key.wrapping_mul(31).wrapping_add((at % 251) as u8)
 }
 
-/// A worker that answers each read with a value of `LARGE` bytes made from its key, in uneven pieces; a key that begins
-/// with `b` breaks half way, one with `s` then says nothing more, and one with `x` ends in what is no reply.
+/// A backend that answers each read with a value of `VALUE_BYTES` derived from its key, in uneven pieces. A key that starts
+/// with `b` closes the connection half way, `s` stalls half way, and `x` sends garbage after the value.
 fn backend() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let endpoint = listener.local_addr().unwrap();
@@ -63,7 +63,8 @@
     client.stream
 }
 
-/// Reads what comes until the value's last byte or the end: how many bytes of the value came, and whether all.
+/// Reads a value up to its end or the end of the connection. Returns the number of its bytes received, and whether the
+/// response was complete.
 fn read_value(stream: &mut TcpStream, key: u8, pause: Duration) -> (usize, bool) {
     let (mut bytes, mut buffer) = (Vec::new(), vec![0; 300_000]);
     let head = format!("${VALUE_BYTES}\r\n").into_bytes();
@@ -78,11 +79,14 @@
     assert!(bytes.starts_with(&head), "{:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(40)]));
     let end = bytes.len().min(head.len() + VALUE_BYTES);
     let value = &bytes[head.len()..end];
-    assert!(value.iter().enumerate().all(|(at, b)| *b == byte_at(key, at)), "the bytes that the worker gave");
+    assert!(
+        value.iter().enumerate().all(|(at, b)| *b == byte_at(key, at)),
+        "the value differs from what the backend sent"
+    );
     (value.len(), bytes.len() == whole && bytes.ends_with(b"\r\n"))
 }
 
-/// The most memory that the process has had, in MiB.
+/// Returns the peak resident memory of the process in MiB.
 fn peak_memory_mib(proxy: &Proxy) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
@@ -93,15 +97,15 @@
 fn concurrent_large_reads_are_streamed_in_bounded_memory_without_delaying_others() {
     let discovery = FakeDiscovery::start();
     let proxy = start_proxy(&discovery, 32);
-    // 40 values are 160 MiB, five times the limit. Few at a time, so that the module refuses none.
+    // 40 values are 160 MiB, five times the limit. Started one by one, so that none is rejected.
     let mut readers = Vec::new();
     for n in 0..40 {
         let (mut stream, key) = (send_read(&proxy, &format!("k{n}"), &format!("id{n}")), b'k');
-        // The first byte is there before the next one asks; the client reads the rest when it likes.
+        // Wait for the first byte before the next request; the client reads the rest slowly.
         stream.peek(&mut [0]).unwrap();
         readers.push(std::thread::spawn(move || read_value(&mut stream, key, Duration::from_millis(40))));
         if n == 20 {
-            // A quick client beside the slow ones.
+            // A fast client among the slow ones.
             let started = Instant::now();
             assert_eq!(
                 read_value(&mut send_read(&proxy, "quick", "quick"), b'q', Duration::ZERO),
@@ -111,7 +115,7 @@
         }
     }
     for reader in readers {
-        // Slower than the 400 ms that a request's head may wait: once begun, no time ends it.
+        // The transfer takes longer than the 400 ms deadline, which applies only until the response begins.
         assert_eq!(reader.join().unwrap(), (VALUE_BYTES, true));
     }
     assert!(peak_memory_mib(&proxy) < 16, "{} MiB", peak_memory_mib(&proxy));
@@ -128,13 +132,13 @@
     {
         let started = Instant::now();
         let (got, whole) = read_value(&mut send_read(&proxy, key, key), key.as_bytes()[0], Duration::ZERO);
-        // All that the worker gave, but for the head of its reply, and then the end of the connection.
+        // Everything that the backend sent, except for its response header, and then the end of the connection.
         assert!(!whole && got <= sent && got + 64 >= sent, "{key}: {got} of {sent}, whole={whole}");
         assert!(started.elapsed() < Duration::from_secs(6), "{key}: {:?}", started.elapsed());
         let vars = proxy.metrics();
         assert_eq!((&vars["failed"]["read"], &vars["in_flight"]), (&(n + 1).into(), &0.into()), "{key}");
     }
-    // A client that leaves in the middle holds nothing up, and is in no figure.
+    // A client that disconnects half way blocks nothing and is not counted.
     let mut disconnecting = send_read(&proxy, "k", "leaver");
     disconnecting.read_exact(&mut [0; 1000]).unwrap();
     drop(disconnecting);
@@ -145,11 +149,11 @@
     assert!(exited_cleanly && log.contains(" ending_answer_cut=3 "), "{log}");
 }
 
-/// The path and the length of each write that came whole.
+/// Path and length of each write that was received completely.
 type CompletedWrites = Arc<Mutex<Vec<(String, usize)>>>;
 
-/// An origin that takes writes and checks and remembers each one that came whole. It reads slowly
-/// where the path begins with `/slow`.
+/// An origin that verifies and records each write that it receives completely. It reads slowly if the path starts with
+/// `/slow`.
 fn recording_origin() -> (FakeServer, CompletedWrites) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let endpoint = listener.local_addr().unwrap();
@@ -187,7 +191,7 @@
                     }
                     assert!(
                         value.iter().enumerate().all(|(at, b)| *b == byte_at(7, at)),
-                        "{path}: as it was written"
+                        "{path}: the value differs from what the client wrote"
                     );
                     writes.lock().unwrap().push((path, length));
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -206,7 +210,7 @@
         .into_bytes()
 }
 
-/// Sends a write in pieces with a pause between any two; gives the answer's line.
+/// Sends a write in pieces with a pause after each. Returns the first line of the response.
 fn send_write(proxy: &Proxy, (key, id, class): (&str, &str, &str), length: usize, pause: Duration) -> String {
     let mut client = proxy.client().stream;
     let mut bytes = write_head(key, id, class, length);
@@ -227,16 +231,16 @@
     let cache = FakeServer::backend(Box::new(|_| None));
     let list = [endpoint_entry("w", &cache, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 32), None);
-    // One whose sending takes longer than the 1.5 s that its client waits for the answer: that time begins behind it.
+    // Sending takes longer than the 1.5 s deadline, which starts only after the last byte of the value.
     assert_eq!(send_write(&proxy, ("k", "id", "close"), VALUE_BYTES, Duration::from_millis(130)), "$2");
     std::thread::scope(|scope| {
         for round in 0..6 {
-            // Six at once, within the window of a start; 36 are 144 MiB, over four times the limit.
+            // Six at once fit in the initial congestion window; 36 are 144 MiB, over four times the memory limit.
             let writers: Vec<_> = (0..6)
                 .map(|n| {
                     let (proxy, key) = (&proxy, format!("{}{n}", if n % 2 == 0 { "slow" } else { "k" }));
                     scope.spawn(move || {
-                        // The module may refuse one while the origin is slow: it comes again, as clients do.
+                        // A write may be rejected while the origin is slow and is then retried, as clients do.
                         let tries = (0..50).map(|t| {
                             std::thread::sleep(Duration::from_millis(if t > 0 { 50 } else { 0 }));
                             send_write(
@@ -249,7 +253,7 @@
                         tries
                             .into_iter()
                             .find(|answer| !answer.starts_with("-BUSY"))
-                            .expect("taken in the end")
+                            .expect("every try was rejected")
                     })
                 })
                 .collect();
@@ -275,7 +279,7 @@
     let list = [endpoint_entry("w", &cache, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 192), None);
     let half: Vec<u8> = (0..VALUE_BYTES / 2).map(|at| byte_at(7, at)).collect();
-    // One that goes away, and one that stays and says nothing more.
+    // One client disconnects half way, the other one stays connected and sends nothing more.
     for stays_connected in [false, true] {
         let mut client = proxy.client().stream;
         client
@@ -290,13 +294,13 @@
             assert_eq!(line, "-ERR the command took too long\r\n");
         }
     }
-    // One of a class that nobody knows, of a length that nobody takes, and in a form that is none.
+    // A write with an unknown class, and one beyond the size limit.
     let answer = send_write(&proxy, ("k", "c", "none"), VALUE_BYTES, Duration::ZERO);
     assert_eq!(answer, "-ERR unknown class");
     let mut client = proxy.client();
     client.stream.write_all(&write_head("k", "d", "close", VALUE_BYTES + 1)).unwrap();
     assert!(matches!(client.next(), Some(Value::Error(line)) if line.starts_with(b"ERR Protocol error")));
-    // One without an origin is refused behind its last byte, and its connection takes the next command.
+    // Without an origin, a write is rejected after its last byte, and its connection accepts the next command.
     discovery.watches.recv_timeout(TIMEOUT).unwrap();
     discovery.send_update(42, &[endpoint_entry("o", &origin, "terminated", 0)]);
     proxy.wait_for_log("version 42");
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on sockets, one by one: each is seen to act with its file, and not to without.
+//! Each limit of a policy file over real sockets: it takes effect with the policy and not without it.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
     FakeServer::origin(Box::new(|request| http_response("200 OK", &request[2])))
 }
 
-/// A worker that says nothing to a read for so long, and then answers it.
+/// A backend that answers each command after this time.
 fn slow_backend(wait: Duration) -> FakeServer {
     FakeServer::backend(Box::new(move |words| {
         std::thread::sleep(wait);
@@ -23,7 +23,7 @@
     }))
 }
 
-/// A worker that breaks the connection `n` times, and then answers.
+/// A backend that closes the connection on the first `n` commands and answers the rest.
 fn disconnecting_backend(n: usize) -> FakeServer {
     let left = AtomicUsize::new(n);
     FakeServer::backend(Box::new(move |words| {
@@ -36,7 +36,7 @@
     }))
 }
 
-/// A proxy, its worker and the origin.
+/// A proxy with one backend and an origin.
 struct Setup {
     proxy: Proxy,
     backend: FakeServer,
@@ -52,7 +52,7 @@
     Setup { proxy, backend, origin, _discovery: discovery }
 }
 
-/// What a read of one client gets, and after how long.
+/// Reads a key on a new connection. Returns the response and the time that it took.
 fn timed_read(setup: &Setup, id: &str, wait: u64) -> (Value, Duration) {
     let started = Instant::now();
     let answer = setup.proxy.client().get("k", id, wait);
@@ -64,7 +64,7 @@
     let policy = format!("{READ_ROUTE}attempt = '150ms'\nattempts = 2\n");
     let limited = start(slow_backend(TIMEOUT), Some(&policy));
     let (answer, took) = timed_read(&limited, "id1", 1_500);
-    assert_eq!(answer, bulk("id1"), "from the origin, as the worker is silent");
+    assert_eq!(answer, bulk("id1"), "not answered by the origin while the backend is silent");
     assert!(took < 1_200 * MS, "{took:?}");
     let (answer, took) = timed_read(&start(slow_backend(TIMEOUT), None), "id1", 1_500);
     assert!(answer != bulk("id1") && took > 1_400 * MS, "{answer:?} {took:?}");
@@ -88,7 +88,7 @@
             "{policy}"
         );
     }
-    // Two attempts, of which the module keeps the last for a fetch.
+    // The last of the two attempts is reserved for a read from the origin.
     let limited = start(disconnecting_backend(9), Some(&format!("{READ_ROUTE}attempts = 2\n")));
     timed_read(&limited, "id1", 1_000);
     assert!(limited.backend.requests().len() + limited.origin.requests().len() <= 2);
@@ -111,7 +111,7 @@
     let second_answer = |setup: &Setup| {
         let (mut first, mut second) = (setup.proxy.client(), setup.proxy.client());
         first.send(&["OBJ.GET", "a", "id1", "c=read,t=acme,d=1900"]);
-        // The first has reached the worker before the second is sent.
+        // Wait until the first read has reached the backend before sending the second.
         let deadline = Instant::now() + TIMEOUT;
         while setup.backend.requests().is_empty() {
             assert!(Instant::now() < deadline);
@@ -146,7 +146,7 @@
 
 #[test]
 fn hedged_requests_are_sent_only_if_the_policy_allows_them() {
-    // Whichever worker is asked for the key first takes a second over it; the other one answers at once.
+    // The first backend to receive the key answers after a second, the other one immediately.
     let hedge = |policy: &str| {
         let asked = Arc::new(AtomicUsize::new(0));
         let backend = || {
@@ -189,7 +189,7 @@
     limited.proxy.wait_for_log(".toml:4:15: route.r.concurrency: 0 is out of range; 1 to 100000 is allowed");
     limited.proxy.wait_for_log(".toml:5:12: route.r.attempts: 9 is out of range; 1 to 3 is allowed");
     assert_eq!(timed_read(&limited, "id1", 1_000).0, bulk("id1"));
-    // `total` over at once: a new request goes by the new file.
+    // New requests use the new policy immediately.
     limited.proxy.reload_policy(&format!("room = 1\n{READ_ROUTE}keep_free = 0.9\nretry_after = '30ms'\n"));
     limited.proxy.wait_for_log("policy: read again, 2 routes");
     assert_eq!(timed_read(&limited, "id2", 1_000).0, Value::Error(b"BUSY 30".to_vec()));
--- a/cli/tests/operations.rs
+++ b/cli/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Day-to-day operation with real sockets and processes: operators' calls, workers out by hand, upgrades.
+//! Operation with real sockets and processes: the admin interface, detached backends and hot restarts.
 
 mod common;
 use common::*;
@@ -30,7 +30,7 @@
     status(proxy, "POST", "/_cache-nodes/attach", backend)
 }
 
-/// Reads of so many different keys, one after the other; each is answered with its own id.
+/// Reads `n` different keys one after the other. Each read must be answered with its own id.
 fn read_keys(client: &mut Client, name: &str, n: usize) {
     for i in 0..n {
         let id = format!("{name}{i}");
@@ -59,7 +59,7 @@
     let mut client = proxy.client();
     read_keys(&mut client, "a", 5);
     assert_eq!(client.request(&["OBJ.SET", "k", "w1", "c=close,t=acme,d=600", "text"]), bulk("w1"));
-    // Not taken, and so in no figure.
+    // A request that is not accepted is not counted.
     assert!(matches!(client.request(&["OBJ.GET", "k", "w2", "c=none,t=acme,d=600"]), Value::Error(_)));
     let expected = r#"{"served":{"close":1,"fix":0,"read":5},"refused":{"close":0,"fix":0,"read":0},
         "failed":{"close":0,"fix":0,"read":0},"attempts":6,"in_flight":0,"cache_nodes_known":1,"cache_nodes_excluded":0}"#;
@@ -71,7 +71,7 @@
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
-    // Few descriptors: the clients below want more of them than there are.
+    // The clients below need more descriptors than this limit allows.
     let proxy = Proxy::with_sockets(&discovery, &list, 96);
     let idle: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(proxy.admin).unwrap()).collect();
     let incomplete: Vec<TcpStream> = (0..10)
@@ -107,7 +107,7 @@
     for (took, status_code) in slowest {
         assert!(status_code == Some(200) && took < Duration::from_secs(1), "{status_code:?} after {took:?}");
     }
-    // Those that say nothing are sent away: at the latest when their time is over.
+    // Connections that send no complete request are closed.
     let started = Instant::now();
     for mut stream in idle.into_iter().chain(incomplete) {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -127,11 +127,11 @@
     let proxy = Proxy::start(&discovery, &list);
     let mut client = proxy.client();
     read_keys(&mut client, "x", 16);
-    assert!(!a.requests().is_empty() && !b.requests().is_empty(), "both take part");
+    assert!(!a.requests().is_empty() && !b.requests().is_empty(), "a backend received no request");
     assert_eq!((detach(&proxy, " a\r\n"), detach(&proxy, "a")), (Some(200), Some(200)));
     let before = a.requests().len();
     discovery.watches.recv_timeout(TIMEOUT).unwrap();
-    // Gone, there again, at another start: out all the same.
+    // Removed, listed again, restarted: the backend stays detached.
     for (rev, line) in [
         (42, endpoint_entry("a", &a, "terminated", 0)),
         (43, endpoint_entry("a", &a, "in_service", 0)),
@@ -144,17 +144,17 @@
     assert_eq!(a.requests().len(), before);
     let vars = proxy.metrics();
     assert_eq!((&vars["cache_nodes_known"], &vars["cache_nodes_excluded"]), (&2.into(), &1.into()));
-    // Once back for twice out. It counts as cold: taken for warm it would get about half.
+    // Repeated detach and attach calls have no further effect. The backend is warming up, so it gets much less than half of the requests.
     assert_eq!((attach(&proxy, "a"), attach(&proxy, "a")), (Some(200), Some(200)));
     assert_eq!(proxy.metrics()["cache_nodes_excluded"], 0);
     read_keys(&mut client, "y", 40);
     assert!(a.requests().len() - before <= 8, "{}", a.requests().len() - before);
     let deadline = Instant::now() + Duration::from_secs(5);
     while a.requests().len() == before {
-        assert!(Instant::now() < deadline, "unused for 5 s");
+        assert!(Instant::now() < deadline, "no request within 5 s of attaching");
         read_keys(&mut client, &format!("z{:?}", deadline - Instant::now()), 16);
     }
-    // All of them out: requests are answered at once, by the origin or with a refusal.
+    // With all backends detached, requests are immediately served by the origin or rejected.
     assert_eq!((detach(&proxy, "a"), detach(&proxy, "b")), (Some(200), Some(200)));
     let started = Instant::now();
     let answer = client.get("k", "last", 2000);
@@ -178,21 +178,22 @@
         for c in 0..8 {
             let (done, reconnects, answered) = (&done, &reconnects, Arc::clone(&answered));
             scope.spawn(move || {
-                let connect = || Client::new(TcpStream::connect(listen).expect("somebody listens"));
+                let connect =
+                    || Client::new(TcpStream::connect(listen).expect("no process accepts connections"));
                 let mut client = connect();
                 for n in 0.. {
                     if done.load(Ordering::Relaxed) {
                         return;
                     }
                     let id = format!("c{c}n{n}");
-                    // One that was closed between two requests is not used, as with any client that keeps some.
+                    // Replace a connection that was closed between two requests, as a pooling client does.
                     if client.is_closed() {
                         client = connect();
                     }
                     client.send(&["OBJ.GET", &format!("key{n}"), &id, "c=read,t=acme,d=2000"]);
                     match client.next() {
                         Some(answer) => assert!(answer == bulk(&id) || is_busy(&answer), "{answer:?}"),
-                        // A close that crosses a request: it is sent once more on a new connection.
+                        // The close crossed this request: send it again on a new connection.
                         None => {
                             reconnects.fetch_add(1, Ordering::Relaxed);
                             client = connect();
@@ -205,10 +206,10 @@
                 }
             });
         }
-        // Twice: the second right after the first.
+        // Two hot restarts, one right after the other.
         for _ in 0..2 {
             let next = current.start_successor(&discovery);
-            // Either process may be asked, and both heed it before the yes.
+            // Either process accepts the call, and both apply it before the response.
             assert_eq!(detach(&next, "c"), Some(200));
             std::thread::sleep(Duration::from_millis(100));
             sent_to_c.get_or_insert_with(|| c.requests().len());
@@ -221,7 +222,7 @@
         done.store(true, Ordering::Relaxed);
     });
     assert!(answered.load(Ordering::Relaxed) > 200);
-    assert!(reconnects.load(Ordering::Relaxed) <= 4, "{} turned back", reconnects.load(Ordering::Relaxed));
+    assert!(reconnects.load(Ordering::Relaxed) <= 4, "{} reconnects", reconnects.load(Ordering::Relaxed));
     assert_eq!((a.requests().len(), Some(c.requests().len())), (before, sent_to_c));
     let requests_to_a = a.requests().len();
     read_keys(&mut current.client(), "end", 16);
@@ -245,7 +246,7 @@
     new.wait_for_log("1 processes, was 2");
     read_keys(&mut new.client(), "x", 16);
     assert!(b.requests().is_empty());
-    // A new process that dies before its yes leaves the old one as it was.
+    // A successor that is killed leaves the running process unchanged.
     let mut third = new.start_successor(&discovery);
     third.child.kill().unwrap();
     third.child.wait().unwrap();
@@ -259,7 +260,7 @@
     let (discovery, a, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
     let list = [endpoint_entry("a", &a, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    // A folder stands where the new state would be written.
+    // A folder with the name of the new state file makes its creation fail.
     let state = std::fs::read_dir(&proxy.folder.0).unwrap().flatten().map(|f| f.path());
     let slot = state.into_iter().find(|p| p.extension().is_some_and(|e| e == "slot")).unwrap();
     let new = slot.with_extension("").with_extension("new");
@@ -288,14 +289,14 @@
     client.send(&["OBJ.GET", "k", "id", "c=read,t=acme,d=2000"]);
     let deadline = Instant::now() + TIMEOUT;
     while proxy.metrics()["in_flight"] != 1 {
-        assert!(Instant::now() < deadline, "never taken");
+        assert!(Instant::now() < deadline, "the request was not accepted");
     }
     assert_eq!(status(&proxy, "GET", "/_ready", ""), Some(200));
     proxy.signal("TERM");
     proxy.wait_for_log("stopping on Term");
     assert_eq!(status(&proxy, "GET", "/_ready", ""), Some(503));
     assert_eq!((&proxy.metrics()["in_flight"], detach(&proxy, "w")), (&1.into(), Some(200)));
-    // Out by hand, but already at work: what it has may finish.
+    // Requests in flight at a detached backend may finish.
     assert_eq!(client.next(), Some(bulk("id")));
     assert!(proxy.wait_for_exit().0);
 }
@@ -317,13 +318,16 @@
     assert_eq!(detach(&proxy, "a"), Some(200));
     set_file_size_limit("0:unlimited");
     assert_eq!((detach(&proxy, "b"), attach(&proxy, "a")), (Some(500), Some(500)));
-    assert_eq!(proxy.metrics()["cache_nodes_excluded"], 1, "what was said to fail is heeded");
+    assert_eq!(proxy.metrics()["cache_nodes_excluded"], 1, "a failed change was applied");
     read_keys(&mut proxy.client(), "full", 16);
-    assert!(a.requests().is_empty() && !b.requests().is_empty(), "one is out and the other is not");
+    assert!(
+        a.requests().is_empty() && !b.requests().is_empty(),
+        "expected requests only to the backend that is not detached"
+    );
     set_file_size_limit("unlimited:unlimited");
     assert_eq!(detach(&proxy, "b"), Some(200));
     let folder = Arc::clone(&proxy.folder);
-    // Killed: nothing is tidied up.
+    // Killed, so that only the state file remains.
     drop(proxy);
     let next = Proxy::restart(&discovery, folder);
     assert_eq!(next.metrics()["cache_nodes_excluded"], 2);
--- a/cli/tests/pairs.rs
+++ b/cli/tests/pairs.rs
@@ -1,5 +1,5 @@
-//! `notchdoor lab pairs` on processes: with this program as its own earlier one, which has to hold, and with one that
-//! ends at once, which has to be found. The matrix of earlier revisions is built by the command and not played here.
+//! `notchdoor lab pairs` with this program as both revisions, which must pass, and with a program that exits immediately,
+//! which must be reported. Earlier revisions are not built here.
 
 use std::os::unix::fs::PermissionsExt;
 use std::process::{Command, Output};
--- a/cli/tests/pauses.rs
+++ b/cli/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! A process that is held up for up to 0.15 s again and again: what backends are told, and when, on processes.
+//! Deadlines and drains while the proxy process is paused repeatedly for up to 0.15 s.
 
 mod common;
 use common::*;
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// The longest that a process may be held up, and so the slack of what a backend is told.
+/// Longest pause of the process, which is also the tolerance for forwarded deadlines.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// A backend that drains may be sent something for so long, and with the slack of sockets.
+/// How long after a drain update a backend may still receive commands, including socket delays.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 
-/// One command as a backend saw it.
+/// A command as received by a backend.
 struct ReceivedCommand {
     id: String,
     deadline: Duration,
     at: Instant,
 }
 
-/// A backend that fails every command, so that each is tried once more, and keeps what it saw.
+/// A backend that records and fails every command, so that each is retried.
 fn failing_backend(seen: &Arc<Mutex<Vec<ReceivedCommand>>>) -> FakeServer {
     let seen = Arc::clone(seen);
     FakeServer::backend(Box::new(move |words| {
         let deadline =
-            words[3].split(',').find_map(|word| word.strip_prefix("d=")).expect("a deadline is told");
+            words[3].split(',').find_map(|word| word.strip_prefix("d=")).expect("no deadline in the command");
         let deadline = Duration::from_millis(deadline.parse().unwrap());
         seen.lock().unwrap().push(ReceivedCommand { id: words[2].clone(), deadline, at: Instant::now() });
         std::thread::sleep(10 * MS);
@@ -33,7 +33,7 @@
     }))
 }
 
-/// Holds a process up again and again until `over`; the longest that it stood still.
+/// Pauses a process repeatedly until `done`. Returns the longest pause.
 fn pause_repeatedly(proxy: &Proxy, done: &AtomicBool) -> Duration {
     let mut longest = Duration::ZERO;
     while !done.load(Ordering::Relaxed) {
@@ -81,21 +81,26 @@
                 client.send(&["OBJ.GET", &format!("key{id}"), &id, "c=read,t=acme,d=900"]);
             }
             for client in &mut clients {
-                assert!(client.next().is_some(), "an answer");
+                assert!(client.next().is_some(), "connection closed without a response");
             }
         }
         done.store(true, Ordering::Relaxed);
-        (pausing.join().unwrap(), drained.expect("drained"))
+        (pausing.join().unwrap(), drained.expect("the drain was not sent"))
     });
     let slack = MAX_PAUSE.max(longest);
     let seen_of = |seen: &Arc<Mutex<Vec<ReceivedCommand>>>| std::mem::take(&mut *seen.lock().unwrap());
     let (a_seen, b_seen) = (seen_of(&a_seen), seen_of(&b_seen));
     for seen in a_seen.iter().chain(&b_seen) {
         let left = deadline.saturating_sub(seen.at - sent[&seen.id]);
-        assert!(seen.deadline <= left + slack, "{} is told {:?} of {left:?}", seen.id, seen.deadline);
+        assert!(
+            seen.deadline <= left + slack,
+            "{}: forwarded deadline {:?}, remaining {left:?}",
+            seen.id,
+            seen.deadline
+        );
     }
-    let last = b_seen.iter().map(|seen| seen.at).max().expect("asked before it drained");
-    assert!(last < drained + DRAIN_GRACE, "asked {:?} after it began to drain", last - drained);
-    println!("{} and {} commands, held up for {longest:?} at the most", a_seen.len(), b_seen.len());
+    let last = b_seen.iter().map(|seen| seen.at).max().expect("the draining backend received no command");
+    assert!(last < drained + DRAIN_GRACE, "received a command {:?} after the drain update", last - drained);
+    println!("{} and {} commands, longest pause {longest:?}", a_seen.len(), b_seen.len());
     assert!(a_seen.len() > 20 && b_seen.len() > 5, "{} and {}", a_seen.len(), b_seen.len());
 }
--- a/cli/tests/policy_files.rs
+++ b/cli/tests/policy_files.rs
@@ -1,5 +1,4 @@
-//! Policy files as `notchdoor check policy` takes them: what it prints of a good one, and the exit code, place and
-//! text for bad ones.
+//! `notchdoor check policy`: its output for a valid file, and exit code, position and message for invalid ones.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
--- a/cli/tests/rules.rs
+++ b/cli/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One test with real sockets for each rule: the program as a process, and peers on loopback.
+//! Rules of request handling, one test each, with the program as a process and fake servers on loopback.
 
 mod common;
 use common::*;
@@ -11,12 +11,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A worker that answers each read with the id it came with.
+/// A backend that answers each command with its request id.
 fn echo_backend() -> FakeServer {
     FakeServer::backend(Box::new(|words| hit_response(&words[2])))
 }
 
-/// An origin that answers everything with the id it came with.
+/// An origin that answers each request with its call id.
 fn echo_origin() -> FakeServer {
     FakeServer::origin(Box::new(|request| http_response("200 OK", &request[2])))
 }
@@ -74,8 +74,8 @@
     let started = Instant::now();
     let answer = proxy.client().get("k", "id1", 300);
     assert!(is_busy(&answer) || is_failed(&answer) || answer == bulk("id1"), "{answer:?}");
-    assert!(started.elapsed() >= Duration::from_millis(290), "not before its time");
-    assert!(started.elapsed() < Duration::from_secs(2), "its deadline and some room for a busy machine");
+    assert!(started.elapsed() >= Duration::from_millis(290), "answered before the deadline");
+    assert!(started.elapsed() < Duration::from_secs(2), "answered too long after the deadline");
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let (mut client, mut idle) = (proxy.client(), proxy.client());
     client.send(&["OBJ.GET", "k", "id1", "c=read,t=acme,d=2000"]);
     proxy.signal("TERM");
-    // New connections keep coming for a while, and are served.
+    // New connections are still accepted and served for a while.
     assert_eq!(proxy.client().get("k", "id2", 2000), bulk("id2"));
     assert_eq!(client.next(), Some(bulk("id1")));
     assert_eq!(idle.next(), None, "closed");
@@ -101,7 +101,7 @@
 
 #[test]
 fn unsafe_write_that_may_have_run_is_neither_retried_nor_rejected() {
-    // What the origin does is in the key; each case has a proxy of its own, whose window nothing has cut.
+    // The key selects the origin's behavior. Each case has its own proxy, so that no congestion window is reduced.
     for (key, expected, sends) in [("break", "failed", 1), ("error", "failed", 1), ("reject", "busy", 1)] {
         let origin = FakeServer::origin(Box::new(|request| match request[1].as_str() {
             "/break" => None,
@@ -137,13 +137,13 @@
     };
     read_sixteen_keys("x");
     let before = a.requests().len();
-    assert!(before > 0 && !b.requests().is_empty(), "both take part");
+    assert!(before > 0 && !b.requests().is_empty(), "a backend received no request");
     discovery.watches.recv_timeout(TIMEOUT).unwrap();
     discovery.send_update(42, &[state("terminating")]);
     std::thread::sleep(Duration::from_millis(900));
     read_sixteen_keys("y");
-    assert_eq!(a.requests().len(), before, "nothing new within the second that the rule allows");
-    // A watch that is silent past its beat is dropped, and the next one goes on from the list held.
+    assert_eq!(a.requests().len(), before, "a request reached the draining backend");
+    // A watch without heartbeats is closed, and the next one resumes from the current list version.
     discovery.stop_responding();
     assert!(discovery.watches.recv_timeout(TIMEOUT).unwrap().contains("from=42 "));
     discovery.send_update(43, &[state("in_service")]);
@@ -167,7 +167,7 @@
         let id = format!("id{n}");
         assert_eq!(client.get(&format!("k{n}"), &id, 2000), bulk(&id));
     }
-    // Its start is read on the module's clock: taken for long ago, it would get about half.
+    // Without slow start it would get about half of the requests.
     assert!(cold.requests().len() <= 3 && warm.requests().len() >= 37, "{}", cold.requests().len());
 }
 
@@ -217,7 +217,7 @@
     proxy.signal("TERM");
     let (exited_cleanly, log) = proxy.wait_for_exit();
     assert!(exited_cleanly && log.contains(" left=1 ") && log.contains(" counters: taken="), "{log}");
-    // The third was well-formed RESP and no command: it is told, and its connection stays open.
+    // The third input is well-formed RESP but not a command: it gets an error, and its connection stays open.
     assert!(log.contains(" ending_client_malformed=2 "), "{log}");
 }
 
@@ -244,7 +244,7 @@
     let proxy = Proxy::start(&discovery, &list);
     let mut client = proxy.client();
     for n in 0..4 {
-        // An unsafe write that ended as a reset could not be sent again.
+        // An unsafe write sent on the closed connection would be reset and could not be retried.
         let id = format!("id{n}");
         assert_eq!(client.request(&["OBJ.SET", "once", &id, "c=close,t=acme,d=600", "text"]), bulk(&id));
         std::thread::sleep(Duration::from_millis(20));
@@ -258,10 +258,10 @@
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::with_sockets(&discovery, &list, 96);
-    // Room for 38 clients; those that come after them close the ones that say nothing.
+    // The limit allows 38 clients; further ones cause idle clients to be closed.
     let mut clients: Vec<Client> = (0..38).map(|_| proxy.client()).collect();
     clients.extend((0..10).map(|n| proxy.client_after_request(&format!("id{n}"))));
-    assert_eq!(clients[0].next(), None, "closed, with nothing owed");
+    assert_eq!(clients[0].next(), None, "the idle client was not closed");
 }
 
 #[test]
@@ -275,7 +275,7 @@
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
     let mut non_reading = proxy.client();
-    // Few at a time, so that the module refuses none; 900 answers are 54 MB, far beyond the kernel's buffers.
+    // Sent in small batches, so that none is rejected; 900 answers are 54 MB, far beyond the kernel's buffers.
     for n in 0..900 {
         non_reading.send(&["OBJ.GET", "large", &format!("d{n}"), "c=read,t=acme,d=2000"]);
         if n % 4 == 3 {
@@ -293,7 +293,7 @@
 #[test]
 fn unreachable_backend_fails_no_read() {
     let (discovery, a, b, origin) = (FakeDiscovery::start(), echo_backend(), echo_backend(), echo_origin());
-    // Nobody listens on the port that the list gives for the first.
+    // No process listens on the first backend's listed address.
     let dead = endpoint_entry("a", &a, "in_service", 0).replace("127.0.0.1", "127.77.0.1");
     let list =
         [dead, endpoint_entry("b", &b, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
@@ -311,8 +311,7 @@
     );
 }
 
-/// Guards against a proxy that SIGHUP ends, that goes on with a registry which has moved, or that drops
-/// what it holds on the way.
+/// SIGHUP must not end the process or its requests, and a changed discovery address must be used.
 #[test]
 fn reload_changes_the_discovery_address_and_ends_no_request() {
     let slow = FakeServer::backend(Box::new(|words| {
@@ -334,17 +333,17 @@
     proxy.reload_config("{\"name\":");
     proxy.wait_for_log("the old one stays: EDGE_CONFIG: EOF");
     proxy.reload_config(&proxy.config(&new).replace("\"memory_mb\":192", "\"memory_mb\":48"));
-    // The list held and its version stay, whatever `known` says, and the file goes before the variable.
+    // The current list and its version are kept despite `known`, and the file overrides the environment variable.
     assert!(new.watches.recv_timeout(TIMEOUT).unwrap().contains("from=41 "));
     new.send_update(42, &[state("terminating")]);
-    assert_eq!(client.next(), Some(bulk("id0")), "no request is ended");
+    assert_eq!(client.next(), Some(bulk("id0")), "the request in flight was not answered");
     proxy.wait_for_log("discovery: version 42");
     let before = slow.requests().len();
     for n in 0..16 {
         let id = format!("id{n}");
         assert_eq!(client.get(&format!("k{n}"), &id, 2000), bulk(&id));
     }
-    assert_eq!(slow.requests().len(), before, "the new registry's word counts");
+    assert_eq!(slow.requests().len(), before, "the drain from the new discovery address was ignored");
     proxy.signal("HUP");
     proxy.signal("TERM");
     proxy.signal("HUP");
@@ -352,7 +351,7 @@
     assert!(exited_cleanly && log.contains("a restart is needed for limits.memory_mb\n"), "{log}");
 }
 
-/// Guards against those who connect and say nothing, or half a command, and hold a descriptor for good.
+/// Clients that send nothing or an incomplete command must not occupy a descriptor indefinitely.
 #[test]
 fn idle_client_and_incomplete_command_time_out() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
@@ -369,11 +368,10 @@
     assert_eq!((half.next(), half.next()), (late.clone(), None), "{}", proxy.log_and_status());
     assert_eq!((later.next(), later.next()), (late, None));
     assert_eq!(silent.next(), None);
-    assert_eq!(good.get("k", "id3", 2000), bulk("id3"), "who has asked may stay");
+    assert_eq!(good.get("k", "id3", 2000), bulk("id3"), "a client with an answered request was closed");
 }
 
-/// Guards against values that are read on for as long as their client sends, and against a reset that takes
-/// the error line with it.
+/// The value must not be read any further, and the error must reach the client before the close.
 #[test]
 fn oversized_value_is_rejected_by_its_declared_length() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
@@ -388,7 +386,7 @@
     assert!(backend.requests().is_empty() && origin.requests().is_empty());
 }
 
-/// Guards against a request that waits until its client gives up for the rest of an answer that never comes.
+/// A request must not wait until its deadline for the rest of an incomplete answer.
 #[test]
 fn incomplete_answer_is_retried() {
     let asked = AtomicUsize::new(0);
@@ -404,8 +402,7 @@
     assert_eq!((backend.requests().len(), origin.requests().len()), (2, 0));
 }
 
-/// Guards against a second copy that comes right behind an answer and is taken for the next command's: no
-/// connection takes another command at once.
+/// A duplicate answer that follows immediately must not be matched to the next command on the connection.
 #[test]
 fn connection_is_not_reused_immediately_after_an_answer() {
     let gaps = Arc::new(Mutex::new((None::<Instant>, Vec::new())));
@@ -431,7 +428,7 @@
     assert!(gaps.1.len() == 19 && gaps.1.iter().all(|g| *g >= Duration::from_millis(2)), "{:?}", gaps.1);
 }
 
-/// Guards against a crowd of clients that ask once and stay: they give way, and not those who go on asking.
+/// When descriptors are short, clients that stay idle after one request are closed, not active ones.
 #[test]
 fn clients_with_one_request_are_closed_before_active_ones() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
@@ -445,7 +442,7 @@
     let mut crowd = Vec::new();
     for n in 0..60 {
         crowd.push(proxy.client_after_request(&format!("id{n}")));
-        // What asked once is idle for long enough; who asks on would not be.
+        // Now the clients with one request are idle long enough to be closed.
         if n == 36 {
             std::thread::sleep(Duration::from_millis(300));
         }
@@ -454,14 +451,14 @@
     assert_eq!(crowd[0].next(), None);
 }
 
-/// Guards against a front that may hold fewer connections than there is room for here: those that asked once and
-/// stay are closed when half of the room is used, not when the last of it is.
+/// A load balancer in front may allow fewer connections than the proxy, so clients that stay idle after one request are
+/// closed once half of the capacity is used.
 #[test]
 fn clients_with_one_request_are_closed_from_half_of_the_capacity() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
-    // Room for 38 clients.
+    // The limit allows 38 clients.
     let proxy = Proxy::with_sockets(&discovery, &list, 96);
     let mut crowd: Vec<Client> = (0..24).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
     std::thread::sleep(Duration::from_millis(150));
@@ -469,18 +466,18 @@
     assert_eq!(crowd[0].next(), None);
 }
 
-/// A process that was stalled (its disk, its core) finds clients idle for long whose requests lie in their sockets:
-/// they are read and answered, however short room is, and not closed with those who have nothing to ask.
+/// After a stall, clients look idle although their requests wait in the socket buffers. These requests must be answered,
+/// and only clients without one may be closed.
 #[test]
 fn requests_received_during_a_stall_are_answered() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
-    // Room for 38 clients.
+    // The limit allows 38 clients.
     let proxy = Proxy::with_sockets(&discovery, &list, 96);
     let mut clients: Vec<Client> = (0..18).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
     proxy.signal("STOP");
-    // With the crowd over half of the room is used, and those that asked once make room. The crowd is heard of first.
+    // These clients exceed half of the capacity, and their connections arrive before the requests below.
     let _crowd: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     for (n, client) in clients.iter_mut().take(6).enumerate() {
         client.send(&["OBJ.GET", "k", &format!("late{n}"), "c=read,t=acme,d=2000"]);
@@ -488,28 +485,28 @@
     std::thread::sleep(Duration::from_millis(300));
     proxy.signal("CONT");
     for (n, client) in clients.iter_mut().take(6).enumerate() {
-        // The stall looked like a slow worker: some may be refused, and none is left without an answer.
+        // The stall looks like a slow backend, so some requests may be rejected, but each gets a response.
         let answer = client.next();
         let served = answer == Some(bulk(&format!("late{n}")));
         assert!(served || answer.as_ref().is_some_and(is_busy), "client {n}: {answer:?}");
     }
-    assert_eq!(clients[8].next(), None, "with nothing to ask it makes room");
+    assert_eq!(clients[8].next(), None, "the idle client was not closed");
 }
 
-/// Finding 8: each connection could hold most of a command, and nothing bounded them all together.
+/// Incomplete commands of all connections together must not exceed their share of the memory limit.
 #[test]
 fn incomplete_commands_have_a_total_bound_and_the_oldest_are_dropped_first() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
-    // An eighth of 12 MiB is room for 25 such halves.
+    // An eighth of 12 MiB fits 25 of these incomplete commands.
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 12), None);
     let half = format!("*5\r\n$7\r\nOBJ.SET\r\n$65536\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
     let mut other = proxy.client();
     for client in &mut clients {
         client.stream.write_all(half.as_bytes()).unwrap();
-        // One after the other: what comes at once is read in no order of its own.
+        // A PING in between makes the proxy read the commands in order.
         assert_eq!(other.request(&["PING"]), Value::Simple(b"PONG".to_vec()));
     }
     assert_eq!(other.get("k", "id1", 2000), bulk("id1"));
@@ -521,15 +518,15 @@
     let dropped_for_room = answers.iter().filter(|a| *a == "ERR too many half-sent commands").count();
     assert!(
         (30..80).contains(&dropped_for_room),
-        "{dropped_for_room} of 80 were cut off for room, the rest for their time"
+        "{dropped_for_room} of 80 were closed for the memory bound, the rest timed out"
     );
-    // The oldest first, though on a busy machine some of them are out of time before it comes to that.
+    // The oldest are dropped first, although on a busy machine some of them time out before that.
     let count_dropped =
         |part: &[String]| part.iter().filter(|a| *a == "ERR too many half-sent commands").count();
     assert!(count_dropped(&answers[..40]) + 10 >= count_dropped(&answers[40..]), "{answers:?}");
 }
 
-/// Finding 10: a dozen clients that read nothing kept everybody's requests from being taken for ten seconds.
+/// Clients that read nothing must not block the requests of others under memory pressure.
 #[test]
 fn clients_that_read_nothing_are_disconnected_early_under_memory_pressure() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
@@ -543,7 +540,7 @@
             socket.connect(&proxy.listen.into()).unwrap();
             let mut stream = TcpStream::from(socket);
             stream.set_write_timeout(Some(Duration::from_millis(100))).unwrap();
-            // Each is told an error of five times its length.
+            // Each empty command gets an error response of five times its length.
             let _ = stream.write_all("*0\r\n".repeat(400_000).as_bytes());
             stream
         })
@@ -551,16 +548,16 @@
     let started = Instant::now();
     assert_eq!(proxy.client().get("k", "id1", 2000), bulk("id1"));
     assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
-    // What is cut off is told by the counters.
+    // The counters below report the closed connections.
     std::thread::sleep(Duration::from_millis(2_500));
     drop(non_reading);
     proxy.signal("TERM");
     let (exited_cleanly, log) = proxy.wait_for_exit();
     let stalled = log.split("ending_client_stalled=").nth(1).and_then(|t| t.split(' ').next());
-    assert!(exited_cleanly && stalled.is_some_and(|n| n != "0"), "none was cut off for it: {log}");
+    assert!(exited_cleanly && stalled.is_some_and(|n| n != "0"), "no stalled client was closed: {log}");
 }
 
-/// Finding 12: a request whose client names an hour was held as long by a worker that says nothing.
+/// A silent backend must not keep a request in flight for an hour because its client names such a deadline.
 #[test]
 fn client_deadline_is_capped_by_the_longest_class_deadline() {
     let silent = FakeServer::backend(Box::new(|_| {
@@ -576,7 +573,7 @@
     assert!(started.elapsed() < Duration::from_secs(8), "{:?}", started.elapsed());
 }
 
-/// Finding 15: a registry that sent a byte now and then passed for one that lives, and drains went unheard.
+/// A discovery service that sends single bytes without completing a line must not count as responsive.
 #[test]
 fn watch_that_never_completes_a_line_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -601,7 +598,8 @@
     proxy.wait_for_log("discovery: watch ended, registry_silent");
 }
 
-/// A signal while requests are at every stage: half read, at a slow worker, fetched, waiting for that fetch, written.
+/// Requests are incomplete, at a slow backend, being fetched, waiting for that fetch, or being written when the signal
+/// arrives.
 #[test]
 fn signal_at_any_request_stage_loses_no_request() {
     for signal in ["HUP", "TERM"] {
@@ -626,7 +624,7 @@
         let half = b"*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk2\r\n$3\r\nid3\r\n$20\r\nc=read,t=a";
         clients[3].stream.write_all(half).unwrap();
         std::thread::sleep(Duration::from_millis(60));
-        // Its worker has missed by now, and the fetch is out.
+        // By now the backend has reported a miss and the fetch from the origin is in flight.
         clients[4].send(&["OBJ.GET", "miss", "id4", read]);
         std::thread::sleep(Duration::from_millis(30));
         proxy.signal(signal);
@@ -634,7 +632,7 @@
         for (n, client) in clients.iter_mut().enumerate() {
             let id = format!("id{n}");
             let answer = client.next();
-            // Behind a fetch a read finds its key missing here all the same: it may be fetched, or refused.
+            // A read of a key that is being fetched may be fetched itself or rejected.
             let refused = n == 4 && answer.as_ref().is_some_and(is_busy);
             assert!(answer == Some(bulk(&id)) || refused, "{signal}, {id}: {answer:?}");
         }
@@ -650,7 +648,7 @@
     }
 }
 
-/// A client may leave at every byte of a command, and with answers owed: nothing is held, and the next is served.
+/// Clients disconnect after each byte of a command, and with unread answers; the next client is served.
 #[test]
 fn client_disconnect_at_any_byte_leaves_nothing_in_flight() {
     let (discovery, backend, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
--- a/cli/tests/shutdown.rs
+++ b/cli/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A shutdown from SIGTERM to the moment of SIGKILL, on processes: every request that was read has its answer.
+//! Shutdown of real processes between SIGTERM and SIGKILL: every request that was read is answered.
 
 mod common;
 use common::*;
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// SIGKILL comes so long after SIGTERM, beyond the longest deadline.
+/// Time between SIGTERM and SIGKILL in excess of the longest deadline.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
-/// Settings in which no class has a longer deadline than this.
+/// Settings in which every class has at most this deadline.
 fn settings_with_deadline(ms: u32) -> String {
     let short = |name: &str, from: &str| (format!("\"{name}\":{from}.0"), format!("\"{name}\":{ms}.0"));
     let mut text = settings().to_owned();
@@ -24,7 +24,7 @@
     text.replace("\"aim\":750.0", "\"aim\":100.0").replace("\"aim\":800.0", "\"aim\":100.0")
 }
 
-/// Backends that take every request and never answer.
+/// A backend and an origin that accept requests and never answer.
 fn hanging_servers() -> (FakeServer, FakeServer) {
     let hang = || {
         std::thread::sleep(Duration::from_secs(20));
@@ -33,24 +33,24 @@
     (FakeServer::backend(Box::new(move |_| hang())), FakeServer::origin(Box::new(move |_| hang())))
 }
 
-/// What one connection brought to its client.
+/// What a client sent and received on one connection.
 #[derive(Default)]
 struct Received {
-    /// Commands that were written, whole or in part.
+    /// Commands written, completely or in part.
     sent: usize,
-    /// Answers that came whole.
+    /// Answers received completely.
     answers: usize,
-    /// Whether part of an answer came and its rest did not.
+    /// Whether the last answer was incomplete.
     truncated: bool,
 }
 
-/// Reads answers until the connection ends.
+/// Spawns a thread that counts answers until the connection ends.
 fn spawn_receiver(mut stream: TcpStream) -> JoinHandle<Received> {
     std::thread::spawn(move || {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let (mut reader, mut buffer, mut received) = (Reader::default(), [0; 16 * 1024], Received::default());
         loop {
-            while let Some(_answer) = reader.next_value().expect("answers make sense") {
+            while let Some(_answer) = reader.next_value().expect("malformed answer") {
                 received.answers += 1;
             }
             match stream.read(&mut buffer) {
@@ -64,18 +64,18 @@
     })
 }
 
-/// How a client goes on sending.
+/// How a client sends its commands.
 #[derive(Clone, Copy)]
 struct SendPattern {
-    /// Commands written at once.
+    /// Number of commands in each write.
     batch: usize,
-    /// Bytes of the last command that are kept back until the next write.
+    /// Bytes of the last command that are withheld until the next write.
     withheld_bytes: usize,
     pause: Duration,
     deadline_ms: u32,
 }
 
-/// Sends on one connection until it ends or `over`, whatever is answered.
+/// Spawns a client that sends on one connection until it ends or `done`, regardless of the answers.
 fn spawn_sender(
     listen: SocketAddr,
     name: String,
@@ -108,7 +108,7 @@
     })
 }
 
-/// Opens new connections with a request on each until nobody listens.
+/// Spawns a client that opens new connections with one request each until they are refused.
 fn spawn_connector(
     listen: SocketAddr,
     name: String,
@@ -141,15 +141,16 @@
     })
 }
 
-/// A counter's value in the last line of counters.
+/// Returns a counter's value from the counters logged at exit.
 fn counter(log: &str, name: &str) -> usize {
-    let line = log.lines().rfind(|line| line.contains("counters at exit")).expect("counters");
-    let word = line.split(' ').find_map(|word| word.strip_prefix(&format!("{name}="))).expect("a counter");
+    let line = log.lines().rfind(|line| line.contains("counters at exit")).expect("no counters in the log");
+    let word =
+        line.split(' ').find_map(|word| word.strip_prefix(&format!("{name}="))).expect("no such counter");
     word.parse().unwrap()
 }
 
-/// Stops a proxy with this longest deadline while all of its backends hang and clients send in these ways; the rules of
-/// a shutdown, and what came of it.
+/// Stops a proxy while its servers hang and clients send with these patterns, and checks that it exits in time with every
+/// read request answered.
 fn check_shutdown(deadline_ms: u32, patterns: &[SendPattern], connecting: usize) {
     let (discovery, (backend, origin)) = (FakeDiscovery::start(), hanging_servers());
     let list =
@@ -178,25 +179,25 @@
     let sent: usize = received.iter().map(|r| r.sent).sum();
     let (taken, rejected) = (counter(&log, "taken"), counter(&log, "rejected"));
     println!("{sent} sent, {taken} taken, {rejected} rejected, {answers} answers, {took:?}");
-    assert!(took < kill_after, "killed after {kill_after:?}, and it took {took:?}: {log}");
+    assert!(took < kill_after, "took {took:?}, limit {kill_after:?}: {log}");
     assert!(exited_cleanly && log.contains("stopped with every request answered"), "{log}");
-    assert!(received.iter().all(|r| !r.truncated), "part of an answer");
-    assert_eq!(counter(&log, "left"), 0, "no client left");
-    assert_eq!(answers, taken + rejected, "answers that clients have, of requests that were read");
+    assert!(received.iter().all(|r| !r.truncated), "a client received a truncated answer");
+    assert_eq!(counter(&log, "left"), 0, "a client disconnected early");
+    assert_eq!(answers, taken + rejected, "answers received differ from requests read");
     assert!(sent > 50 && taken > 20, "{sent} sent, {taken} taken");
 }
 
-/// Requests one after the other, without waiting for answers.
+/// Single requests without waiting for answers.
 fn steady(deadline_ms: u32) -> SendPattern {
     SendPattern { batch: 1, withheld_bytes: 0, pause: 10 * MS, deadline_ms }
 }
 
-/// Many at once, and always half a command behind them: the connection is never between two commands.
+/// Several requests per write, always followed by an incomplete command.
 fn incomplete(deadline_ms: u32) -> SendPattern {
     SendPattern { batch: 5, withheld_bytes: 11, pause: 10 * MS, deadline_ms }
 }
 
-/// More than a connection may be owed.
+/// More requests per write than a connection may have in flight.
 fn flood(deadline_ms: u32) -> SendPattern {
     SendPattern { batch: 300, withheld_bytes: 11, pause: MS, deadline_ms }
 }
@@ -253,13 +254,14 @@
     let (exited_cleanly, log) = proxy.wait_for_exit();
     done.store(true, Ordering::Relaxed);
     assert!(exited_cleanly && log.contains("stopped with every request answered"), "{log}");
-    assert!(log.contains("version 42"), "the drain was not heard: {log}");
+    assert!(log.contains("version 42"), "the drain was not applied: {log}");
     let answers: usize = sending.into_iter().filter_map(|s| s.join().unwrap()).map(|r| r.answers).sum();
     assert_eq!(answers, counter(&log, "taken") + counter(&log, "rejected"));
-    let last = command_times.lock().unwrap().last().copied().expect("asked before it drained");
+    let last =
+        command_times.lock().unwrap().last().copied().expect("the draining backend received no command");
     assert!(
         last < drained + Duration::from_millis(1_050),
-        "asked {:?} after it began to drain",
+        "received a command {:?} after the drain update",
         last - drained
     );
 }
--- a/cli/tests/sockets.rs
+++ b/cli/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Broken, slow and forgotten connections with real sockets: what peers do to the proxy's connections at every stage, and
-//! what each client is owed all the same.
+//! Broken, slow and half-dead connections over real sockets: clients, servers and discovery misbehave at each stage, and
+//! every request still gets a response.
 
 mod common;
 use common::*;
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 const READ: &str = "c=read,t=acme,d=2000";
-/// What bad clients are owed an error or the end of their connection within.
+/// A client with an incomplete command gets an error or a close within this time.
 const INCOMPLETE_COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Within this a change counts as told once discovery had it and could be reached.
+/// An endpoint update is applied within this time after discovery is reachable.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
 
@@ -31,7 +31,7 @@
     matches!(value, Value::Error(line) if line.starts_with(b"ERR"))
 }
 
-/// Serves each connection to a new address on a thread of its own; the connections are numbered.
+/// Starts a server that handles each connection on its own thread, with the number of the connection.
 fn spawn_server(serve: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -51,7 +51,7 @@
     drop(stream);
 }
 
-/// The words of the next command; `None` at the end of the connection.
+/// Reads the words of the next command; `None` at the end of the connection.
 fn read_command(stream: &mut TcpStream) -> Option<Vec<String>> {
     let (mut reader, mut buffer) = (Reader::default(), [0; 4096]);
     loop {
@@ -62,14 +62,14 @@
         if let Value::Array(Some(words)) = reader.next_value().ok()?.unwrap_or(Value::Int(0)) {
             let word = |w: Value| match w {
                 Value::Bulk(Some(w)) => String::from_utf8_lossy(&w).into_owned(),
-                other => panic!("no word: {other:?}"),
+                other => panic!("expected a bulk string, got {other:?}"),
             };
             return Some(words.into_iter().map(word).collect());
         }
     }
 }
 
-/// The head of the next HTTP request, and as much of its body as comes with it; `None` at the end of the connection.
+/// Reads the head of the next HTTP request and any body bytes received with it; `None` at the end of the connection.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     while !bytes.windows(4).any(|w| w == b"\r\n\r\n") {
@@ -81,7 +81,7 @@
     Some(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Writes each byte alone.
+/// Writes each byte separately.
 fn write_bytewise(stream: &mut TcpStream, bytes: &[u8]) {
     stream.set_nodelay(true).unwrap();
     for byte in bytes {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Waits for an error or the end of a connection: how long that took.
+/// Waits for an error or the end of the connection. Returns the time that this took.
 fn wait_for_error_or_close(client: &mut Client) -> Duration {
     let started = Instant::now();
     let answer = client.next();
@@ -156,13 +156,13 @@
     let list = [endpoint_entry("w", &slow, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
     let whole = b"*4\r\n$7\r\nOBJ.GET\r\n$4\r\nslow\r\n$3\r\nid0\r\n$20\r\nc=read,t=acme,d=2000\r\n";
-    // Before the first byte, between any two, after the last, and while the answer is on its way.
+    // Before the first byte, within the command, after the last byte, and before the answer.
     for at in (0..whole.len()).step_by(9).chain([whole.len(), whole.len()]) {
         let mut client = proxy.client();
         client.stream.write_all(&whole[..at]).unwrap();
         reset(client.stream);
     }
-    // Behind commands that are owed an answer, with the answers unread, and in the middle of a large value.
+    // After pipelined commands with unread answers, and in the middle of a large value.
     let mut pipelined = proxy.client();
     for n in 0..20 {
         pipelined.send(&["OBJ.GET", "k", &format!("p{n}"), READ]);
@@ -181,19 +181,19 @@
     assert!(log.contains(" owed=0 clients=0 ") && !log.contains("panicked"), "{log}");
 }
 
-/// What a backend does with a connection that has served a command and is idle.
+/// What a server does with a connection that is idle after a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum IdleBehavior {
     Closes,
     Resets,
-    /// Nothing, until the next command comes: that is met with a reset.
+    /// Keeps it open, and resets it when the next request arrives after [`IDLE_LIFETIME`].
     Forgets,
 }
 
-/// A connection that has been idle for longer is forgotten.
+/// Idle time after which a server forgets a connection.
 const IDLE_LIFETIME: Duration = Duration::from_millis(400);
 
-/// Serves a connection: `answer` gives what the next command is answered with, and `None` at the end of the connection.
+/// Serves a connection. `answer` reads the next request and returns its response, or `None` at the end of the connection.
 fn serve_with_idle_behavior(
     idle: IdleBehavior,
     mut stream: TcpStream,
@@ -242,7 +242,7 @@
             assert_eq!(client.get("k", &id, 2000), bulk(&id), "{idle:?}");
             let id = format!("w{n}");
             let answer = client.request(&["OBJ.SET", "k", &id, "c=close,t=acme,d=600", "v"]);
-            // An unsafe write whose connection turns out to be forgotten may have run, as far as is known here.
+            // An unsafe write on a forgotten connection may have run, so it may fail but not be retried.
             let unknown_outcome = idle == IdleBehavior::Forgets && is_failed(&answer);
             assert!(answer == bulk(&id) || unknown_outcome, "{idle:?}, {n}: {answer:?}");
             receipts += usize::from(answer == bulk(&id));
@@ -252,17 +252,14 @@
         }
         let mut written = written.lock().unwrap().clone();
         written.retain(|id| id.starts_with('w'));
-        assert_eq!(written.len(), receipts, "{idle:?}: none twice, and each receipt is one that was given");
-        assert!(
-            broken <= 3,
-            "{idle:?}: one at the most for each time that connections were forgotten: {broken}"
-        );
+        assert_eq!(written.len(), receipts, "{idle:?}: executed writes differ from acknowledged ones");
+        assert!(broken <= 3, "{idle:?}: {broken} writes failed, more than one per forgotten connection");
     }
 }
 
 #[test]
 fn short_deadline_requests_dropped_by_a_backend_do_not_eject_it() {
-    // It says nothing to those that have no time left.
+    // The backend does not answer requests with a short deadline.
     let cache = spawn_server(|_, mut stream| {
         while let Some(words) = read_command(&mut stream) {
             if words[2].starts_with("short") {
@@ -281,14 +278,14 @@
         let started = Instant::now();
         let answer = client.get("k", &format!("short{n}"), 5);
         assert!(is_busy(&answer) || is_failed(&answer) || answer == bulk(&format!("short{n}")), "{answer:?}");
-        // Up to half a second after its time it only earns nothing.
+        // A response up to half a second after the deadline is allowed.
         assert!(started.elapsed() < Duration::from_millis(505), "{n}: {:?}", started.elapsed());
     }
     let fetched = origin.requests().len();
     for n in 0..10 {
         assert_eq!(client.get("k", &format!("long{n}"), 2000), bulk(&format!("long{n}")));
     }
-    assert_eq!(origin.requests().len(), fetched, "the cache serves on");
+    assert_eq!(origin.requests().len(), fetched, "the backend was ejected");
 }
 
 #[test]
@@ -300,7 +297,7 @@
                 read_request(&mut stream);
                 let head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
                 stream.write_all(&[head.as_slice(), &vec![b'x'; length]].concat()).unwrap();
-                // All of it has come before the end of the connection does.
+                // Let the proxy receive the body before the connection ends.
                 std::thread::sleep(Duration::from_millis(30));
                 if closes {
                     drop(stream);
@@ -325,7 +322,7 @@
     }
 }
 
-/// One read on a connection of its own, and its answer if there is one, however large.
+/// Reads a key on a new connection. Returns the response, of up to 1 MiB, or `None` if the connection ends.
 fn read_once(proxy: &Proxy, key: &str, id: &str) -> Option<Value> {
     let mut client = proxy.client();
     client.send(&["OBJ.GET", key, id, READ]);
@@ -341,16 +338,16 @@
     }
 }
 
-/// What stands in discovery's place while it is away.
+/// How discovery fails during an outage.
 #[derive(Clone, Copy, Debug)]
 enum OutageKind {
-    /// It refuses connections.
+    /// Refuses connections.
     Refuses,
-    /// It takes connections and says nothing.
+    /// Accepts connections and sends nothing.
     Silent,
-    /// It has too many callers.
+    /// Answers each request with status 503.
     Crowded,
-    /// It begins to answer and goes on too slowly to be heard.
+    /// Sends its response head one byte at a time, too slowly for the proxy.
     Slow,
 }
 
@@ -446,7 +443,7 @@
         let id = format!("id{n}");
         assert_eq!(client.get(&format!("k{n}"), &id, 2000), bulk(&id), "{kind:?}");
     }
-    assert_eq!(draining.requests().len(), before, "{kind:?}: nothing new to the one that drains");
+    assert_eq!(draining.requests().len(), before, "{kind:?}: a request reached the draining backend");
 }
 
 const INCOMPLETE_COMMAND: &[u8] = b"*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$3\r\nid";
@@ -460,7 +457,7 @@
     let (discovery, origin) = (FakeDiscovery::start(), echo_origin());
     let list =
         [endpoint_entry("w", &hanging, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
-    // Room for a few requests only, and more of them wait for it on each connection.
+    // The memory limit allows few requests in flight, so more are queued on each connection.
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 12), None);
     let mut clients: Vec<Client> = (0..6).map(|_| proxy.client()).collect();
     let started = Instant::now();
@@ -488,7 +485,7 @@
 
 #[test]
 fn incomplete_large_write_times_out_at_any_origin_read_rate() {
-    // Nothing, a little from time to time, all.
+    // The origin reads nothing, slowly, or immediately.
     for pause in [None, Some(Duration::from_millis(150)), Some(Duration::ZERO)] {
         let origin = spawn_server(move |_, mut stream| {
             let Some(pause) = pause else { return std::thread::sleep(2 * TIMEOUT) };
@@ -524,7 +521,7 @@
     let mut client = proxy.client();
     let head = "*5\r\n$7\r\nOBJ.SET\r\n$1\r\nk\r\n$3\r\nbig\r\n$20\r\nc=close,t=acme,d=600\r\n$4000000\r\n";
     client.stream.write_all(&[head.as_bytes(), &vec![b'x'; 100_000]].concat()).unwrap();
-    // As much as there is room for on the way, and a pause in which that has gone on as far as it goes.
+    // Wait until the first part has been forwarded, and then fill the socket buffers.
     std::thread::sleep(Duration::from_millis(100));
     client.stream.set_nonblocking(true).unwrap();
     let mut sent = 100_000;
@@ -565,7 +562,7 @@
 
 #[test]
 fn backend_connection_resets_at_each_stage_fail_no_read() {
-    // Before the command is read, behind it, within the answer, and behind that.
+    // Before the command is read, after it, within the answer, and after the answer.
     for stage in 0..4 {
         let connections = Arc::new(AtomicUsize::new(0));
         let counted = Arc::clone(&connections);
@@ -603,7 +600,7 @@
     }
 }
 
-/// What a client that is answered and rests finds at a stop is an end, whenever its next command comes.
+/// During shutdown an idle client sees an orderly close, no matter when it sends its next command.
 #[test]
 fn request_sent_as_an_idle_connection_closes_is_answered_or_sees_an_end() {
     let (discovery, cache, origin) = (FakeDiscovery::start(), echo_backend(), echo_origin());
@@ -612,7 +609,7 @@
     let mut clients: Vec<Client> = (0..8).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
     proxy.signal("TERM");
     for (n, client) in clients.iter_mut().enumerate() {
-        // Sent at all times within the stop: it is answered, or the connection has ended before.
+        // Commands sent at different times during shutdown are answered, or their connection has ended before.
         std::thread::sleep(Duration::from_millis(3 * n as u64));
         let mut bytes = Vec::new();
         let words: [&[u8]; 4] = [b"OBJ.GET", b"k", b"late", READ.as_bytes()];
--- a/cli/tests/stand.rs
+++ b/cli/tests/stand.rs
@@ -1,12 +1,12 @@
-//! Real proxies between the load generator and the lab's machines on sockets.
+//! A short scenario with real proxy processes between the load generator and simulated servers on sockets.
 
 use notchdoor_lab::scenario;
 use notchdoor_model::faults::{Fault, FaultKind};
 use notchdoor_testbed::play::{play, Proxies};
 use std::path::PathBuf;
 
-/// A calm day of two proxies and four workers, a few seconds of it: served, by what the stand-ins made, with no command
-/// that no client sent and no sign-off carried out twice, and nothing left at the end. The origin stops on the way.
+/// Runs a few seconds of the `calm` scenario with two proxies, four backends and a stop of the origin. Requests are served,
+/// the servers see no malformed command and no unsafe write twice, and nothing is in flight at the end.
 #[test]
 fn short_scenario_on_sockets_is_served_without_rule_violations() {
     let set = [
@@ -26,7 +26,7 @@
         memory_mb: 192,
         sockets: 1024,
         folder: folder.clone(),
-        // A busy machine must not change what a test sees.
+        // A large tolerance for lateness, so that a busy machine does not void the run.
         most_late: 5_000_000,
         quiet: true,
     };
--- a/cli/tests/versions.rs
+++ b/cli/tests/versions.rs
@@ -1,5 +1,5 @@
-//! Versions as processes, with faults between them: three members of a group and four proxies, and after each fault the
-//! longest time that two proxies acted on different versions, by their own records.
+//! Configuration versions with three group members and four proxies as real processes under faults. By the proxies' own
+//! records, the time for which two of them act on different versions must stay within its bound.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_notchdoor");
-/// The stated bound, and it with the drift that is stated beside it.
+/// Longest time for which two proxies may act on different versions; the second value includes clock drift.
 const MAX_DISAGREEMENT: Duration = Duration::from_millis(3_000);
 const MAX_DISAGREEMENT_WITH_DRIFT_MS: u64 = 3_060;
 
@@ -34,7 +34,7 @@
     fleet
 }
 
-/// Waits until these proxies act on a version, confirmed.
+/// Waits until these proxies act on a version with a current confirmation.
 fn wait_until_active(fleet: &mut Fleet, proxies: &[usize], version: u64) {
     let acts = |f: &mut Fleet| {
         let periods = f.periods();
@@ -46,12 +46,12 @@
     fleet.until(&format!("proxies {proxies:?} act on {version}"), TIMEOUT, acts).unwrap();
 }
 
-/// Ends a play: the record keeps the bound.
+/// Checks the bound against the proxies' records. Returns the longest disagreement in milliseconds.
 fn check_bound(fleet: &Fleet) -> u64 {
     let disagreement_ms = disagreement(&fleet.periods());
     assert!(
         disagreement_ms <= MAX_DISAGREEMENT_WITH_DRIFT_MS,
-        "{disagreement_ms} ms apart; the logs are in {}",
+        "{disagreement_ms} ms of disagreement; logs in {}",
         fleet.folder().display()
     );
     disagreement_ms
@@ -86,7 +86,7 @@
     let applied = run_apply(&fleet, &["fix"], &["--base", "0", "--wait"]);
     assert_eq!(String::from_utf8_lossy(&applied.stdout), "version 1 is in force\n", "{applied:?}");
     wait_until_active(&mut fleet, &[0, 1, 2, 3], 1);
-    // The same again changes nothing, and a plan that is out of date stops.
+    // Applying the same rules again changes nothing; other rules on an outdated base are refused.
     let unchanged = run_apply(&fleet, &["fix"], &["--base", "0"]);
     assert!(unchanged.status.success(), "{unchanged:?}");
     let stale = run_apply(&fleet, &["close"], &["--base", "0"]);
@@ -96,11 +96,11 @@
     let json: serde_json::Value = serde_json::from_slice(&status.stdout).unwrap();
     let on: Vec<_> = json.as_array().unwrap().iter().map(|p| p["versions"]["version"].as_u64()).collect();
     assert_eq!(on, [Some(1); 4], "{json}");
-    // Back is a new version.
+    // A rollback creates a new version.
     let back = run_apply(&fleet, &[], &["--wait"]);
     assert!(back.status.success(), "{back:?}");
     wait_until_active(&mut fleet, &[0, 1, 2, 3], 2);
-    // Nothing failed: they differ by no more than the way of an answer and the turn of a busy machine.
+    // Without faults, proxies differ only by network and scheduling delays.
     let disagreement_ms = check_bound(&fleet);
     assert!(disagreement_ms < 1_000, "{disagreement_ms} ms");
 }
@@ -109,7 +109,7 @@
 fn partitioned_proxy_enters_safe_mode_before_the_others_switch() {
     let mut fleet = start_fleet("cut-off");
     fleet.doors_of(0, Flow::Held);
-    // One is only late: it hears of the version long after the others.
+    // Proxy 1 is only slow: it learns of the version long after the others.
     for id in 1..=3 {
         fleet.door(1, id).set(Way::Back, Flow::Delayed(250));
     }
@@ -133,7 +133,7 @@
         .spawn()
         .unwrap();
     sleep(Duration::from_millis(700));
-    // The version is pending, some of its time is gone, and its clock is gone with the leader.
+    // The version is pending, and the timer for it is lost with the leader.
     fleet.members.get_mut(&leader).unwrap().kill().unwrap();
     assert!(applying.wait().unwrap().success());
     wait_until_active(&mut fleet, &[0, 1, 2, 3], 1);
@@ -171,7 +171,7 @@
         f.proxies.iter().all(in_safe_mode).then_some(())
     };
     fleet.until("all are in safe mode", MAX_DISAGREEMENT + TIMEOUT, safe).unwrap();
-    // Started anew while nobody confirms: it acts on nothing.
+    // A proxy that restarts without a confirmation acts on no version.
     fleet.proxies[0].kill().unwrap();
     fleet.start_proxy(0).unwrap();
     let before = fleet.periods()[0].len();
@@ -185,7 +185,7 @@
     check_bound(&fleet);
 }
 
-/// What a client gets: in safe mode, under a version, and when the group is gone.
+/// Responses to a client under a version without rules, under one with rules, and in safe mode.
 #[test]
 fn requests_are_rejected_per_version_and_in_safe_mode() {
     let mut fleet = Fleet::start(Plan { proxies: 0, ..plan("requests") }).unwrap();
@@ -210,10 +210,10 @@
     };
     assert_eq!(served_by("free"), [true, true]);
     assert!(!is_busy(&get("k1", "free")));
-    // The version blocks a key and drains a worker.
+    // A version that blocks a key and drains a backend.
     let file = fleet.folder().join("rules.toml");
     std::fs::write(&file, "[block]\nkeys = [\"k1\"]\n[workers]\nout = [\"w1\"]\n").unwrap();
-    // Its guard is not the group's: that knows of classes only.
+    // The group's guard covers classes only, so the command refuses the blocked key.
     let line = ["settings", "apply", &file.display().to_string()].map(str::to_owned);
     let refused = command(&fleet, &line.each_ref().map(String::as_str)).output().unwrap();
     let output = String::from_utf8_lossy(&refused.stderr).into_owned();
@@ -226,8 +226,8 @@
     proxy.wait_for_log("versions: acts on 1");
     let fix = |id: &str| proxy.client().request(&["OBJ.GET", "z", id, "c=fix,t=acme,d=2000"]);
     assert!(is_busy(&fix("blocked")) && !is_busy(&get("k1", "other")));
-    // Paused with a request in its hand, and nobody confirms any more when it goes on: the request finds it in safe
-    // mode, whatever its timers have not done yet. All of the guard is refused, and nothing new goes to its worker.
+    // The proxy is paused with an unread request, and the group is killed. When the proxy resumes, the request must already
+    // see safe mode even if no timer has run: everything under the guard is rejected, and its backend gets no requests.
     proxy.signal("STOP");
     let mut waiting = proxy.client();
     waiting.send(&["OBJ.GET", "k1", "paused", "c=read,t=acme,d=2000"]);
--- a/cli/tests/wire.rs
+++ b/cli/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The proxy while the bytes of its connections are spoilt, at every byte: the rules hold, and the next request is
-//! served. What is done hangs on bytes and messages, so that each case is the same on every run.
+//! Faults at chosen bytes of the proxy's connections to servers: unsafe writes run at most once and later requests are
+//! served. Faults are triggered by byte and message counts, so each case is deterministic.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 use notchdoor_testbed::wire::script::{Link, Script};
 use std::net::SocketAddr;
 
-/// A relay before a peer that does to its connections what the rule says.
+/// Starts a relay in front of a server that applies a fault rule to its connections.
 fn start_relay(link: &str, target: &FakeServer, rule: &str) -> Hosted {
     let text = format!("[[wire]]\nbetween = '{link}'\n{rule}\n");
     let script = Script::parse("test", &text).unwrap();
@@ -16,7 +16,7 @@
     Hosted::start(link, target.endpoint, script, 1).unwrap()
 }
 
-/// The lines of a fleet of one worker and the origin.
+/// The endpoint list of one backend and the origin.
 fn endpoint_list(backend: SocketAddr, origin: SocketAddr) -> [String; 2] {
     [endpoint_entry_at("s-1", backend, "in_service", 0), endpoint_entry_at("o-1", origin, "in_service", 0)]
 }
@@ -29,8 +29,8 @@
     matches!(value, Value::Error(line) if !line.starts_with(b"BUSY"))
 }
 
-/// A sign-off runs once at the most, and its client is told the truth: served only with the receipt, refused only where
-/// it never ran. At every byte of the origin's answer, and of the request.
+/// The client gets the origin's response only if the write ran, and a rejection only if it did not. The fault is placed
+/// throughout the origin's response and the request.
 #[test]
 fn unsafe_write_runs_at_most_once_if_its_connection_breaks_at_any_byte() {
     let receipt = http_response("200 OK", "receipt").unwrap();
@@ -57,11 +57,11 @@
                     assert!(is_failed(&answer) || is_refused(&answer) && ran == 0, "{context}");
                 }
                 assert_eq!(relay.with(|r| r.seen().hits), Some(1), "{context}");
-                // A broken one tells the proxy little: the next may have to wait for its window.
+                // Later writes may be rejected until the proxy has recovered from the fault.
                 let deadline = std::time::Instant::now() + TIMEOUT;
                 let mut n = 0;
                 while write(&format!("later-{n}")) != bulk("receipt") {
-                    assert!(std::time::Instant::now() < deadline, "{context}: never served again");
+                    assert!(std::time::Instant::now() < deadline, "{context}: no later write was served");
                     n += 1;
                 }
             }
@@ -69,7 +69,7 @@
     }
 }
 
-/// A read is repeated, and served by what is whole: whatever the first worker's answer is spoilt with.
+/// The fault hits one connection to the backend; the read is retried and answered with an intact value.
 #[test]
 fn read_is_served_if_one_backend_answer_is_corrupted_at_any_byte() {
     let answer = hit_response("from the worker").unwrap();
@@ -96,6 +96,6 @@
             let whole = [bulk("from the worker"), bulk("from the origin")].contains(&got);
             assert!(whole, "{rule}, read {n}: {got:?}");
         }
-        assert!(relay.with(|r| r.seen().hits).unwrap() > 0, "{rule}: nothing was done");
+        assert!(relay.with(|r| r.seen().hits).unwrap() > 0, "{rule}: the fault was not applied");
     }
 }
