--- a/cli/tests/pauses.rs
+++ b/cli/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! A process that is held up for up to 0.15 s again and again: what backends are told, and when, on processes.
+//! Deadlines and drains while the proxy process is paused repeatedly for up to 0.15 s.
 
 mod common;
 use common::*;
@@ -8,67 +8,72 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// The longest that a process may be held up, and so the slack of what a backend is told.
-const PAUSE: Duration = Duration::from_millis(150);
-/// A backend that drains may be sent something for so long, and with the slack of sockets.
-const GRACE: Duration = Duration::from_millis(1_050);
+/// Longest pause of the process, which is also the tolerance for forwarded deadlines.
+const MAX_PAUSE: Duration = Duration::from_millis(150);
+/// How long after a drain update a backend may still receive commands, including socket delays.
+const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 
-/// One command as a backend saw it.
-struct Seen {
+/// A command as received by a backend.
+struct ReceivedCommand {
     id: String,
-    told: Duration,
+    deadline: Duration,
     at: Instant,
 }
 
-/// A backend that fails every command, so that each is tried once more, and keeps what it saw.
-fn failing(seen: &Arc<Mutex<Vec<Seen>>>) -> Peer {
-    let seen = Arc::clone(seen);
-    Peer::worker(Box::new(move |words| {
-        let told = words[3].split(',').find_map(|word| word.strip_prefix("d=")).expect("a deadline is told");
-        let told = Duration::from_millis(told.parse().unwrap());
-        seen.lock().unwrap().push(Seen { id: words[2].clone(), told, at: Instant::now() });
+/// A backend that records and fails every command, so that each is retried.
+fn failing_backend(commands: &Arc<Mutex<Vec<ReceivedCommand>>>) -> FakeServer {
+    let commands = Arc::clone(commands);
+    FakeServer::backend(Box::new(move |words| {
+        let deadline =
+            words[3].split(',').find_map(|word| word.strip_prefix("d=")).expect("no deadline in the command");
+        let deadline = Duration::from_millis(deadline.parse().unwrap());
+        commands.lock().unwrap().push(ReceivedCommand { id: words[2].clone(), deadline, at: Instant::now() });
         std::thread::sleep(10 * MS);
         Some(b"-ERR failed\r\n".to_vec())
     }))
 }
 
-/// Holds a process up again and again until `over`; the longest that it stood still.
-fn hold_up(proxy: &Proxy, over: &AtomicBool) -> Duration {
+/// Pauses a process repeatedly until `done`. Returns the longest pause.
+fn pause_repeatedly(proxy: &Proxy, done: &AtomicBool) -> Duration {
     let mut longest = Duration::ZERO;
-    while !over.load(Ordering::Relaxed) {
-        let begun = Instant::now();
+    while !done.load(Ordering::Relaxed) {
+        let started = Instant::now();
         proxy.signal("STOP");
-        std::thread::sleep(PAUSE - 20 * MS);
+        std::thread::sleep(MAX_PAUSE - 20 * MS);
         proxy.signal("CONT");
-        longest = longest.max(begun.elapsed());
+        longest = longest.max(started.elapsed());
         std::thread::sleep(30 * MS);
     }
     longest
 }
 
 #[test]
-fn a_process_that_is_held_up_tells_no_more_time_than_is_left_and_keeps_the_grace_of_a_drain() {
-    let (a_seen, b_seen) = (Arc::default(), Arc::default());
-    let (registry, a, b) = (Registry::start(), failing(&a_seen), failing(&b_seen));
-    let origin = Peer::origin(Box::new(|request| http("200 OK", &request[2])));
-    let list =
-        [line("a", &a, "in_service", 0), line("b", &b, "in_service", 0), line("o", &origin, "in_service", 0)];
-    let proxy = Proxy::start(&registry, &list);
-    registry.watches.recv_timeout(PATIENCE).unwrap();
-    let over = AtomicBool::new(false);
+fn paused_process_forwards_correct_deadlines_and_respects_the_drain_grace_period() {
+    let (a_commands, b_commands) = (Arc::default(), Arc::default());
+    let (discovery, a, b) =
+        (FakeDiscovery::start(), failing_backend(&a_commands), failing_backend(&b_commands));
+    let origin = FakeServer::origin(Box::new(|request| http_response("200 OK", &request[2])));
+    let list = [
+        endpoint_entry("a", &a, "in_service", 0),
+        endpoint_entry("b", &b, "in_service", 0),
+        endpoint_entry("o", &origin, "in_service", 0),
+    ];
+    let proxy = Proxy::start(&discovery, &list);
+    discovery.watches.recv_timeout(TIMEOUT).unwrap();
+    let done = AtomicBool::new(false);
     let deadline = Duration::from_millis(900);
     let mut sent: HashMap<String, Instant> = HashMap::new();
     let (longest, drained) = std::thread::scope(|scope| {
-        let pausing = scope.spawn(|| hold_up(&proxy, &over));
+        let pausing = scope.spawn(|| pause_repeatedly(&proxy, &done));
         let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
         let mut drained = None;
-        let begun = Instant::now();
+        let started = Instant::now();
         for n in 0.. {
-            if begun.elapsed() > 3 * deadline {
+            if started.elapsed() > 3 * deadline {
                 break;
             }
-            if drained.is_none() && begun.elapsed() > deadline {
-                registry.say(42, &[line("b", &b, "terminating", 0)]);
+            if drained.is_none() && started.elapsed() > deadline {
+                discovery.send_update(42, &[endpoint_entry("b", &b, "terminating", 0)]);
                 drained = Some(Instant::now());
             }
             for (c, client) in clients.iter_mut().enumerate() {
@@ -77,21 +82,28 @@
                 client.send(&["OBJ.GET", &format!("key{id}"), &id, "c=read,t=acme,d=900"]);
             }
             for client in &mut clients {
-                assert!(client.next().is_some(), "an answer");
+                assert!(client.next().is_some(), "connection closed without a response");
             }
         }
-        over.store(true, Ordering::Relaxed);
-        (pausing.join().unwrap(), drained.expect("drained"))
+        done.store(true, Ordering::Relaxed);
+        (pausing.join().unwrap(), drained.expect("the drain was not sent"))
     });
-    let slack = PAUSE.max(longest);
-    let seen_of = |seen: &Arc<Mutex<Vec<Seen>>>| std::mem::take(&mut *seen.lock().unwrap());
-    let (a_seen, b_seen) = (seen_of(&a_seen), seen_of(&b_seen));
-    for seen in a_seen.iter().chain(&b_seen) {
-        let left = deadline.saturating_sub(seen.at - sent[&seen.id]);
-        assert!(seen.told <= left + slack, "{} is told {:?} of {left:?}", seen.id, seen.told);
+    let slack = MAX_PAUSE.max(longest);
+    let take_commands =
+        |commands: &Arc<Mutex<Vec<ReceivedCommand>>>| std::mem::take(&mut *commands.lock().unwrap());
+    let (a_commands, b_commands) = (take_commands(&a_commands), take_commands(&b_commands));
+    for command in a_commands.iter().chain(&b_commands) {
+        let left = deadline.saturating_sub(command.at - sent[&command.id]);
+        assert!(
+            command.deadline <= left + slack,
+            "{}: forwarded deadline {:?}, remaining {left:?}",
+            command.id,
+            command.deadline
+        );
     }
-    let last = b_seen.iter().map(|seen| seen.at).max().expect("asked before it drained");
-    assert!(last < drained + GRACE, "asked {:?} after it began to drain", last - drained);
-    println!("{} and {} commands, held up for {longest:?} at the most", a_seen.len(), b_seen.len());
-    assert!(a_seen.len() > 20 && b_seen.len() > 5, "{} and {}", a_seen.len(), b_seen.len());
+    let last =
+        b_commands.iter().map(|command| command.at).max().expect("the draining backend received no command");
+    assert!(last < drained + DRAIN_GRACE, "received a command {:?} after the drain update", last - drained);
+    println!("{} and {} commands, longest pause {longest:?}", a_commands.len(), b_commands.len());
+    assert!(a_commands.len() > 20 && b_commands.len() > 5, "{} and {}", a_commands.len(), b_commands.len());
 }
