--- a/proxy/src/replication/links.rs
+++ b/proxy/src/replication/links.rs
@@ -99,7 +99,9 @@
                     self.executor.spawn(read).detach();
                 }
                 Ok(_) => {
-                    log::warn!("copies: connection closed, limit of {MAX_ACCEPTED_LINKS} connections reached")
+                    log::warn!(
+                        "copies: connection closed, limit of {MAX_ACCEPTED_LINKS} connections reached"
+                    );
                 }
                 Err(_) => drop(Timer::after(RETRY_DELAY).await),
             }
--- a/proxy/src/replication/store/fault_tests.rs
+++ b/proxy/src/replication/store/fault_tests.rs
@@ -313,7 +313,7 @@
         // Simulates a store that acknowledges a batch before its commit returns.
         let early = Acknowledged { seq: acknowledged.attempted, ..acknowledged };
         let result = std::panic::catch_unwind(|| {
-            assert_acknowledged_data_restored(&disk.after_stop(UnsyncedWrites::Lost), &early, "early")
+            assert_acknowledged_data_restored(&disk.after_stop(UnsyncedWrites::Lost), &early, "early");
         });
         result.is_err()
     });
--- a/proxy/src/state/endpoints.rs
+++ b/proxy/src/state/endpoints.rs
@@ -72,7 +72,7 @@
 /// An endpoint update: the whole list or changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Update {
-    /// The list's version.
+    /// The version of the list.
     pub rev: u64,
     /// Whether `targets` is the whole list.
     #[serde(default)]
--- a/proxy/src/state/hot_restart.rs
+++ b/proxy/src/state/hot_restart.rs
@@ -22,7 +22,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The state file has invalid contents.
@@ -30,7 +30,7 @@
     Unusable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: UnusableState,
     },
     /// All slots are locked by other processes of this proxy.
