--- a/proxy/src/group/tasks.rs
+++ b/proxy/src/group/tasks.rs
@@ -109,7 +109,7 @@
             if let Err(error) = ended {
                 self.session.borrow_mut().connection_failed(self.clock.now());
                 if self.group_reached.replace(Some(false)) != Some(false) {
-                    log::warn!(endpoint:%; "leases: cannot reach group member {endpoint}, requests are served without leases: {error}");
+                    log::warn!(door:% = endpoint; "leases: cannot reach group member {endpoint}, requests are served without leases: {error}");
                 }
             }
             self.log_lease_changes();
@@ -146,7 +146,7 @@
                     // Logged at the first answer: a process that accepts connections may still not answer.
                     if self.group_reached.replace(Some(true)) != Some(true) {
                         let endpoint = self.session.borrow().current_member().0;
-                        log::info!(endpoint:%; "leases: connected to group member {endpoint}");
+                        log::info!(door:% = endpoint; "leases: connected to group member {endpoint}");
                     }
                     if matches!(answer, Answer::Confirmed(_)) {
                         // If the channel is full, the receiver has yet to wake and will read this confirmation too.
--- a/proxy/src/wire/admin.rs
+++ b/proxy/src/wire/admin.rs
@@ -83,12 +83,12 @@
     fn from(error: RequestError) -> Self {
         match error {
             RequestError::Malformed(why) => Reply::text(400, why),
-            RequestError::NotFound => Reply::text(404, "path not found"),
+            RequestError::NotFound => Reply::text(404, "no such path"),
             RequestError::MethodNotAllowed(allow) => {
-                Reply { allow: Some(allow), ..Reply::text(405, &format!("method not allowed; use {allow}")) }
+                Reply { allow: Some(allow), ..Reply::text(405, &format!("this path takes {allow}")) }
             }
-            RequestError::HeadTooLarge => Reply::text(431, "request head is too large"),
-            RequestError::BodyTooLarge => Reply::text(413, "request body is too large"),
+            RequestError::HeadTooLarge => Reply::text(431, "the head is too long"),
+            RequestError::BodyTooLarge => Reply::text(413, "the body is too long"),
         }
     }
 }
@@ -195,18 +195,18 @@
                 // A number that overflows exceeds the limit as well.
                 let n = value.parse().unwrap_or(usize::MAX);
                 if !digits || length.is_some_and(|l| l != n) {
-                    return Err(RequestError::Malformed("invalid Content-Length"));
+                    return Err(RequestError::Malformed("Content-Length makes no sense"));
                 }
                 length = Some(n);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 if !value.eq_ignore_ascii_case("chunked") {
-                    return Err(RequestError::Malformed("unsupported Transfer-Encoding"));
+                    return Err(RequestError::Malformed("Transfer-Encoding is not known"));
                 }
                 chunked = true;
             }
         }
         match (length, chunked) {
-            (Some(_), true) => Err(RequestError::Malformed("invalid Content-Length")),
+            (Some(_), true) => Err(RequestError::Malformed("Content-Length makes no sense")),
             (Some(n), _) if n > MAX_BODY_BYTES => Err(RequestError::BodyTooLarge),
             (length, false) => Ok(Some((path, Body::Length(length.unwrap_or(0)), at))),
             (None, true) => Ok(Some((path, Body::Chunked, at))),
@@ -216,7 +216,7 @@
 
 /// Decodes a chunked body; `None` while it is incomplete.
 fn decode_chunked(mut rest: &[u8]) -> Result<Option<Vec<u8>>, RequestError> {
-    const MALFORMED: RequestError = RequestError::Malformed("malformed chunked body");
+    const MALFORMED: RequestError = RequestError::Malformed("the body's pieces make no sense");
     let mut body = Vec::new();
     loop {
         let (at, size) = match httparse::parse_chunk_size(rest) {
@@ -244,7 +244,7 @@
 
 /// Parses a body that contains one backend name.
 fn parse_backend_name(body: &[u8]) -> Result<String, RequestError> {
-    const MALFORMED: RequestError = RequestError::Malformed("the body must be the name of one cache backend");
+    const MALFORMED: RequestError = RequestError::Malformed("the body is to be the name of one cache worker");
     let text = std::str::from_utf8(body).map_err(|_| MALFORMED)?.trim();
     let is_valid = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c.is_control());
     is_valid.then(|| text.to_owned()).ok_or(MALFORMED)
--- a/proxy/src/wire/driver/admin.rs
+++ b/proxy/src/wire/driver/admin.rs
@@ -116,7 +116,7 @@
 
 fn save_failed(backend: &str, action: &str, error: &HotRestartError) -> Reply {
     log::error!("admin: {action} {backend}: cannot save the drain state, nothing changed: {error}");
-    Reply::text(500, "cannot save the drain state, nothing changed")
+    Reply::text(500, "cannot be kept for an upgrade, nothing is changed")
 }
 
 /// Drains a backend or ends its drain. Saves the change for a later process first, then applies it here, and waits
@@ -126,7 +126,7 @@
     let warmup = runtime.network.warmup;
     if !runtime.proxy.borrow().endpoints.knows(backend) {
         log::warn!("admin: {action} {backend:.256}: no cache backend has this name");
-        return Reply::text(404, "no cache backend has this name");
+        return Reply::text(404, "no cache worker has this name");
     }
     let mut limit_reached = false;
     let deadline = Instant::now() + CHANGE_TIMEOUT;
@@ -158,14 +158,14 @@
             Ok(Change::Busy) if Instant::now() < deadline => {
                 Timer::after(POLL_INTERVAL).await;
             }
-            Ok(Change::Busy) => return Reply::text(503, "another change is in progress"),
+            Ok(Change::Busy) => return Reply::text(503, "another change is being made"),
             Err(error) => return save_failed(backend, action, &error),
         }
     }
     let version = runtime.apply_state();
     if limit_reached {
         log::error!("admin: {action} {backend}: too many backends are drained");
-        return Reply::text(409, "too many backends are drained");
+        return Reply::text(409, "too many workers are out by hand");
     }
     log::info!(backend; "admin: {action} {backend}: done");
     let deadline = Instant::now() + APPLY_TIMEOUT;
