--- a/proxy/src/proxy/overrides.rs
+++ b/proxy/src/proxy/overrides.rs
@@ -44,7 +44,7 @@
                     log::info!(event = "acts", version = v.number, left_ms = left; "versions: applying {}", v.number);
                 }
                 None => {
-                    log::warn!(event = "acts", left_ms = 0; "versions: safe mode, no version is confirmed")
+                    log::warn!(event = "acts", left_ms = 0; "versions: safe mode, no version is confirmed");
                 }
             }
             self.apply_drains(now);
--- a/proxy/tests/session_end.rs
+++ b/proxy/tests/session_end.rs
@@ -16,7 +16,7 @@
         }
         match session.next_event() {
             Some(SessionEvent::Command(sequence, _) | SessionEvent::Ping(sequence)) => {
-                sequences.push(sequence)
+                sequences.push(sequence);
             }
             None if session.incoming().is_some_and(|upload| upload.room() == 0) => {}
             None => return sequences,
--- a/proxy/tests/stages.rs
+++ b/proxy/tests/stages.rs
@@ -232,7 +232,7 @@
                         self.answer(n, Answer::Served(v));
                     }
                     (Defect::DelaysFailures | Defect::AnswersLate, other) => {
-                        self.delayed_answers.push((n, other))
+                        self.delayed_answers.push((n, other));
                     }
                     (Defect::RejectsWithoutRetryAfter, Answer::Rejected { .. }) => {
                         self.answer(n, Answer::Rejected { retry_after: 0 });
