--- a/cli/tests/crossings.rs
+++ b/cli/tests/crossings.rs
@@ -290,11 +290,11 @@
         Proxy::start(&discovery, &[endpoint_entry("w", &slow, "in_service", 0), origin.endpoint_entry("o")]);
     let mut client = proxy.client();
     client.send(&["OBJ.GET", "k0", "id0", READ]);
-    let (mut asked, mut answered, mut stopping) = (1, 0, None);
+    let (mut sent, mut answered, mut stopping) = (1, 0, None);
     loop {
         // Each request is sent before the previous one is answered, so the connection is never idle.
-        client.send(&["OBJ.GET", &format!("k{asked}"), &format!("id{asked}"), READ]);
-        asked += 1;
+        client.send(&["OBJ.GET", &format!("k{sent}"), &format!("id{sent}"), READ]);
+        sent += 1;
         let Some(answer) = client.next() else { break };
         assert!(answer == bulk(&format!("id{answered}")) || is_busy(&answer), "{answer:?}");
         answered += 1;
--- a/cli/tests/group.rs
+++ b/cli/tests/group.rs
@@ -54,9 +54,9 @@
     fleet.proxies[holder].resume().unwrap();
     // An action that was in progress when it was paused may arrive now and is refused by the fence; no other follows.
     sleep(TTL);
-    let late = fleet.resource.since(place);
-    assert!(late.iter().all(|a| a.token != old || !a.admitted), "{late:?}");
-    assert!(late.iter().any(|a| a.admitted), "the new holder does not act");
+    let actions = fleet.resource.since(place);
+    assert!(actions.iter().all(|a| a.token != old || !a.admitted), "{actions:?}");
+    assert!(actions.iter().any(|a| a.admitted), "the new holder does not act");
     assert!(check_record(&mut fleet).handovers >= 1);
 }
 
@@ -88,9 +88,9 @@
     let mut open = plan("open");
     open.manner.fenced = false;
     let (mut fleet, holder, place) = start_with_delayed_action(open);
-    let late =
+    let delayed_action =
         |f: &mut Fleet| f.resource.since(place).into_iter().find(|a| proxy_of(&a.holder) == Some(holder));
-    fleet.until("the delayed action", TIMEOUT, late).unwrap();
+    fleet.until("the delayed action", TIMEOUT, delayed_action).unwrap();
     let error = fleet.check().unwrap_err();
     assert!(error.starts_with("admitted token decreased"), "{error}");
     fleet.keep = false;
--- a/cli/tests/large.rs
+++ b/cli/tests/large.rs
@@ -68,8 +68,8 @@
 fn read_value(stream: &mut TcpStream, key: u8, pause: Duration) -> (usize, bool) {
     let (mut bytes, mut buffer) = (Vec::new(), vec![0; 300_000]);
     let head = format!("${VALUE_BYTES}\r\n").into_bytes();
-    let whole = head.len() + VALUE_BYTES + 2;
-    while bytes.len() < whole {
+    let response_bytes = head.len() + VALUE_BYTES + 2;
+    while bytes.len() < response_bytes {
         match stream.read(&mut buffer) {
             Ok(n) if n > 0 => bytes.extend(&buffer[..n]),
             _ => break,
@@ -83,7 +83,7 @@
         value.iter().enumerate().all(|(at, b)| *b == byte_at(key, at)),
         "the value differs from what the backend sent"
     );
-    (value.len(), bytes.len() == whole && bytes.ends_with(b"\r\n"))
+    (value.len(), bytes.len() == response_bytes && bytes.ends_with(b"\r\n"))
 }
 
 /// Returns the peak resident memory of the process in MiB.
@@ -131,9 +131,9 @@
         [("b", VALUE_BYTES / 2), ("s", VALUE_BYTES / 2), ("x", VALUE_BYTES)].into_iter().enumerate()
     {
         let started = Instant::now();
-        let (got, whole) = read_value(&mut send_read(&proxy, key, key), key.as_bytes()[0], Duration::ZERO);
+        let (got, complete) = read_value(&mut send_read(&proxy, key, key), key.as_bytes()[0], Duration::ZERO);
         // Everything that the backend sent, except for its response header, and then the end of the connection.
-        assert!(!whole && got <= sent && got + 64 >= sent, "{key}: {got} of {sent}, whole={whole}");
+        assert!(!complete && got <= sent && got + 64 >= sent, "{key}: {got} of {sent}, complete={complete}");
         assert!(started.elapsed() < Duration::from_secs(6), "{key}: {:?}", started.elapsed());
         let vars = proxy.metrics();
         assert_eq!((&vars["failed"]["read"], &vars["in_flight"]), (&(n + 1).into(), &0.into()), "{key}");
@@ -157,8 +157,8 @@
 fn recording_origin() -> (FakeServer, CompletedWrites) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let endpoint = listener.local_addr().unwrap();
-    let whole = CompletedWrites::default();
-    let writes = Arc::clone(&whole);
+    let completed = CompletedWrites::default();
+    let writes = Arc::clone(&completed);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let writes = Arc::clone(&writes);
@@ -200,7 +200,7 @@
             });
         }
     });
-    (FakeServer::external(endpoint), whole)
+    (FakeServer::external(endpoint), completed)
 }
 
 fn write_head(key: &str, id: &str, class: &str, length: usize) -> Vec<u8> {
@@ -227,7 +227,7 @@
 
 #[test]
 fn large_writes_with_slow_clients_or_origins_complete_in_bounded_memory() {
-    let (discovery, (origin, whole)) = (FakeDiscovery::start(), recording_origin());
+    let (discovery, (origin, completed)) = (FakeDiscovery::start(), recording_origin());
     let cache = FakeServer::backend(Box::new(|_| None));
     let list = [endpoint_entry("w", &cache, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 32), None);
@@ -262,8 +262,12 @@
             }
         }
     });
-    let whole = whole.lock().unwrap();
-    assert!(whole.len() == 37 && whole.iter().all(|(_, length)| *length == VALUE_BYTES), "{}", whole.len());
+    let completed = completed.lock().unwrap();
+    assert!(
+        completed.len() == 37 && completed.iter().all(|(_, length)| *length == VALUE_BYTES),
+        "{}",
+        completed.len()
+    );
     assert!(peak_memory_mib(&proxy) < 16, "{} MiB", peak_memory_mib(&proxy));
     let vars = proxy.metrics();
     assert_eq!(
@@ -274,7 +278,7 @@
 
 #[test]
 fn unfinished_large_write_is_not_executed_and_rejected_one_is_skipped() {
-    let (discovery, (origin, whole)) = (FakeDiscovery::start(), recording_origin());
+    let (discovery, (origin, completed)) = (FakeDiscovery::start(), recording_origin());
     let cache = FakeServer::backend(Box::new(|_| None));
     let list = [endpoint_entry("w", &cache, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 192), None);
@@ -312,7 +316,7 @@
     let refused = client.next().unwrap();
     assert!(is_busy(&refused), "{refused:?}");
     assert_eq!(client.next(), Some(Value::Simple(b"PONG".to_vec())));
-    assert_eq!(*whole.lock().unwrap(), []);
+    assert_eq!(*completed.lock().unwrap(), []);
     let vars = proxy.metrics();
     assert_eq!(
         (&vars["served"]["close"], &vars["in_flight"], &vars["refused"]["close"]),
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -148,11 +148,11 @@
 fn hedged_requests_are_sent_only_if_the_policy_allows_them() {
     // The first backend to receive the key answers after a second, the other one immediately.
     let hedge = |policy: &str| {
-        let asked = Arc::new(AtomicUsize::new(0));
+        let received = Arc::new(AtomicUsize::new(0));
         let backend = || {
-            let asked = Arc::clone(&asked);
+            let received = Arc::clone(&received);
             FakeServer::backend(Box::new(move |words| {
-                if words[1] == "slow" && asked.fetch_add(1, Ordering::SeqCst) == 0 {
+                if words[1] == "slow" && received.fetch_add(1, Ordering::SeqCst) == 0 {
                     std::thread::sleep(1_000 * MS);
                 }
                 hit_response(&words[2])
@@ -172,12 +172,12 @@
         }
         let started = Instant::now();
         assert_eq!(client.get("slow", "last", 1_900), bulk("last"));
-        (asked.load(Ordering::SeqCst), started.elapsed())
+        (received.load(Ordering::SeqCst), started.elapsed())
     };
-    let (asked, took) = hedge(&format!("{READ_ROUTE}copies = {{ after = 0.5, share = 0.5 }}\n"));
-    assert!(asked == 2 && took < 900 * MS, "{asked} {took:?}");
-    let (asked, took) = hedge(&format!("{READ_ROUTE}copies = 'never'\n"));
-    assert!(asked == 1 && took >= 1_000 * MS, "{asked} {took:?}");
+    let (received, took) = hedge(&format!("{READ_ROUTE}copies = {{ after = 0.5, share = 0.5 }}\n"));
+    assert!(received == 2 && took < 900 * MS, "{received} {took:?}");
+    let (received, took) = hedge(&format!("{READ_ROUTE}copies = 'never'\n"));
+    assert!(received == 1 && took >= 1_000 * MS, "{received} {took:?}");
 }
 
 #[test]
--- a/cli/tests/pauses.rs
+++ b/cli/tests/pauses.rs
@@ -21,13 +21,13 @@
 }
 
 /// A backend that records and fails every command, so that each is retried.
-fn failing_backend(seen: &Arc<Mutex<Vec<ReceivedCommand>>>) -> FakeServer {
-    let seen = Arc::clone(seen);
+fn failing_backend(commands: &Arc<Mutex<Vec<ReceivedCommand>>>) -> FakeServer {
+    let commands = Arc::clone(commands);
     FakeServer::backend(Box::new(move |words| {
         let deadline =
             words[3].split(',').find_map(|word| word.strip_prefix("d=")).expect("no deadline in the command");
         let deadline = Duration::from_millis(deadline.parse().unwrap());
-        seen.lock().unwrap().push(ReceivedCommand { id: words[2].clone(), deadline, at: Instant::now() });
+        commands.lock().unwrap().push(ReceivedCommand { id: words[2].clone(), deadline, at: Instant::now() });
         std::thread::sleep(10 * MS);
         Some(b"-ERR failed\r\n".to_vec())
     }))
@@ -49,8 +49,9 @@
 
 #[test]
 fn paused_process_forwards_correct_deadlines_and_respects_the_drain_grace_period() {
-    let (a_seen, b_seen) = (Arc::default(), Arc::default());
-    let (discovery, a, b) = (FakeDiscovery::start(), failing_backend(&a_seen), failing_backend(&b_seen));
+    let (a_commands, b_commands) = (Arc::default(), Arc::default());
+    let (discovery, a, b) =
+        (FakeDiscovery::start(), failing_backend(&a_commands), failing_backend(&b_commands));
     let origin = FakeServer::origin(Box::new(|request| http_response("200 OK", &request[2])));
     let list = [
         endpoint_entry("a", &a, "in_service", 0),
@@ -88,19 +89,21 @@
         (pausing.join().unwrap(), drained.expect("the drain was not sent"))
     });
     let slack = MAX_PAUSE.max(longest);
-    let seen_of = |seen: &Arc<Mutex<Vec<ReceivedCommand>>>| std::mem::take(&mut *seen.lock().unwrap());
-    let (a_seen, b_seen) = (seen_of(&a_seen), seen_of(&b_seen));
-    for seen in a_seen.iter().chain(&b_seen) {
-        let left = deadline.saturating_sub(seen.at - sent[&seen.id]);
+    let take_commands =
+        |commands: &Arc<Mutex<Vec<ReceivedCommand>>>| std::mem::take(&mut *commands.lock().unwrap());
+    let (a_commands, b_commands) = (take_commands(&a_commands), take_commands(&b_commands));
+    for command in a_commands.iter().chain(&b_commands) {
+        let left = deadline.saturating_sub(command.at - sent[&command.id]);
         assert!(
-            seen.deadline <= left + slack,
+            command.deadline <= left + slack,
             "{}: forwarded deadline {:?}, remaining {left:?}",
-            seen.id,
-            seen.deadline
+            command.id,
+            command.deadline
         );
     }
-    let last = b_seen.iter().map(|seen| seen.at).max().expect("the draining backend received no command");
+    let last =
+        b_commands.iter().map(|command| command.at).max().expect("the draining backend received no command");
     assert!(last < drained + DRAIN_GRACE, "received a command {:?} after the drain update", last - drained);
-    println!("{} and {} commands, longest pause {longest:?}", a_seen.len(), b_seen.len());
-    assert!(a_seen.len() > 20 && b_seen.len() > 5, "{} and {}", a_seen.len(), b_seen.len());
+    println!("{} and {} commands, longest pause {longest:?}", a_commands.len(), b_commands.len());
+    assert!(a_commands.len() > 20 && b_commands.len() > 5, "{} and {}", a_commands.len(), b_commands.len());
 }
--- a/cli/tests/rules.rs
+++ b/cli/tests/rules.rs
@@ -33,10 +33,10 @@
     let proxy = Proxy::start(&discovery, &list);
     let info = "c=read,t=acme,d=480,size=7,r=1";
     assert_eq!(proxy.client().request(&["OBJ.GET", "key", "id1", info]), bulk("id1"));
-    let seen = backend.requests();
-    let passed: u64 = seen[0][3]["c=read,t=acme,d=".len()..].split(',').next().unwrap().parse().unwrap();
+    let requests = backend.requests();
+    let passed: u64 = requests[0][3]["c=read,t=acme,d=".len()..].split(',').next().unwrap().parse().unwrap();
     assert!((1..=480).contains(&passed));
-    assert_eq!(seen[0], ["OBJ.GET", "key", "id1", &info.replace("480", &passed.to_string())]);
+    assert_eq!(requests[0], ["OBJ.GET", "key", "id1", &info.replace("480", &passed.to_string())]);
     assert!(discovery.watches.recv_timeout(TIMEOUT).unwrap().contains("watch=1&from=41 "));
 }
 
@@ -57,9 +57,9 @@
     for id in ["id1", "id2", "id3"] {
         assert_eq!(client.next(), Some(bulk(id)));
     }
-    let mut seen = origin.requests();
-    seen.sort();
-    assert_eq!(seen, [["GET", "/missing", "id1"], ["PUT", "/there", "id3"]]);
+    let mut requests = origin.requests();
+    requests.sort();
+    assert_eq!(requests, [["GET", "/missing", "id1"], ["PUT", "/there", "id3"]]);
 }
 
 #[test]
@@ -202,18 +202,18 @@
     let (discovery, origin) = (FakeDiscovery::start(), echo_origin());
     let list = [endpoint_entry("w", &silent, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    let mut good = proxy.client();
+    let mut active = proxy.client();
     for garbage in [b"GET / HTTP/1.1\r\n\r\n".as_slice(), b"*1\r\n$99999999\r\n", b"*-1\r\n*1\r\n:1\r\n"] {
-        let mut bad = proxy.client();
-        bad.stream.write_all(garbage).unwrap();
-        assert!(matches!(bad.next(), Some(Value::Error(line)) if line.starts_with(b"ERR ")));
+        let mut malformed = proxy.client();
+        malformed.stream.write_all(garbage).unwrap();
+        assert!(matches!(malformed.next(), Some(Value::Error(line)) if line.starts_with(b"ERR ")));
     }
     let mut disconnecting = proxy.client();
     disconnecting.send(&["OBJ.GET", "slow", "id0", "c=read,t=acme,d=2000"]);
     proxy.signal("USR1");
     std::thread::sleep(Duration::from_millis(50));
     drop(disconnecting);
-    assert_eq!(good.get("k", "id1", 2000), bulk("id1"));
+    assert_eq!(active.get("k", "id1", 2000), bulk("id1"));
     proxy.signal("TERM");
     let (exited_cleanly, log) = proxy.wait_for_exit();
     assert!(exited_cleanly && log.contains(" left=1 ") && log.contains(" counters: taken="), "{log}");
@@ -358,17 +358,17 @@
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    let (mut silent, mut half, mut later, mut good) =
+    let (mut silent, mut incomplete, mut later, mut active) =
         (proxy.client(), proxy.client(), proxy.client(), proxy.client());
-    half.stream.write_all(b"*4\r\n$7\r\nOBJ.GET\r\n$1\r").unwrap();
+    incomplete.stream.write_all(b"*4\r\n$7\r\nOBJ.GET\r\n$1\r").unwrap();
     assert_eq!(later.get("k", "id1", 2000), bulk("id1"));
     later.stream.write_all(b"*4\r\n").unwrap();
-    assert_eq!(good.get("k", "id2", 2000), bulk("id2"));
+    assert_eq!(active.get("k", "id2", 2000), bulk("id2"));
     let late = Some(Value::Error(b"ERR the command took too long".to_vec()));
-    assert_eq!((half.next(), half.next()), (late.clone(), None), "{}", proxy.log_and_status());
+    assert_eq!((incomplete.next(), incomplete.next()), (late.clone(), None), "{}", proxy.log_and_status());
     assert_eq!((later.next(), later.next()), (late, None));
     assert_eq!(silent.next(), None);
-    assert_eq!(good.get("k", "id3", 2000), bulk("id3"), "a client with an answered request was closed");
+    assert_eq!(active.get("k", "id3", 2000), bulk("id3"), "a client with an answered request was closed");
 }
 
 /// The value must not be read any further, and the error must reach the client before the close.
@@ -378,22 +378,23 @@
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    let mut bad = proxy.client();
+    let mut malformed = proxy.client();
     let head = "*5\r\n$7\r\nOBJ.SET\r\n$1\r\nk\r\n$3\r\nid1\r\n$12\r\nc=close,d=90\r\n$60000000\r\n";
-    bad.stream.write_all(&[head.as_bytes(), &[b'x'; 400_000]].concat()).unwrap();
-    assert_eq!(bad.next(), Some(Value::Error(b"ERR Protocol error: too large".to_vec())));
-    assert_eq!(bad.next(), None);
+    malformed.stream.write_all(&[head.as_bytes(), &[b'x'; 400_000]].concat()).unwrap();
+    assert_eq!(malformed.next(), Some(Value::Error(b"ERR Protocol error: too large".to_vec())));
+    assert_eq!(malformed.next(), None);
     assert!(backend.requests().is_empty() && origin.requests().is_empty());
 }
 
 /// A request must not wait until its deadline for the rest of an incomplete answer.
 #[test]
 fn incomplete_answer_is_retried() {
-    let asked = AtomicUsize::new(0);
-    let backend = FakeServer::backend(Box::new(move |words| match asked.fetch_add(1, Ordering::Relaxed) {
-        0 => Some(b"*3\r\n$90\r\nshort\r\n$3\r\nhit\r\n$-1\r\n".to_vec()),
-        _ => hit_response(&words[2]),
-    }));
+    let commands = AtomicUsize::new(0);
+    let backend =
+        FakeServer::backend(Box::new(move |words| match commands.fetch_add(1, Ordering::Relaxed) {
+            0 => Some(b"*3\r\n$90\r\nshort\r\n$3\r\nhit\r\n$-1\r\n".to_vec()),
+            _ => hit_response(&words[2]),
+        }));
     let (discovery, origin) = (FakeDiscovery::start(), echo_origin());
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
@@ -439,16 +440,16 @@
     for id in ["a", "b"] {
         assert_eq!(regular.get("k", id, 2000), bulk(id));
     }
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for n in 0..60 {
-        crowd.push(proxy.client_after_request(&format!("id{n}")));
+        clients.push(proxy.client_after_request(&format!("id{n}")));
         // Now the clients with one request are idle long enough to be closed.
         if n == 36 {
             std::thread::sleep(Duration::from_millis(300));
         }
     }
     assert_eq!(regular.get("k", "c", 2000), bulk("c"));
-    assert_eq!(crowd[0].next(), None);
+    assert_eq!(clients[0].next(), None);
 }
 
 /// A load balancer in front may allow fewer connections than the proxy, so clients that stay idle after one request are
@@ -460,10 +461,10 @@
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     // The limit allows 38 clients.
     let proxy = Proxy::with_sockets(&discovery, &list, 96);
-    let mut crowd: Vec<Client> = (0..24).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
+    let mut clients: Vec<Client> = (0..24).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
     std::thread::sleep(Duration::from_millis(150));
     let _late = [proxy.client_after_request("id98"), proxy.client_after_request("id99")];
-    assert_eq!(crowd[0].next(), None);
+    assert_eq!(clients[0].next(), None);
 }
 
 /// After a stall, clients look idle although their requests wait in the socket buffers. These requests must be answered,
@@ -478,7 +479,7 @@
     let mut clients: Vec<Client> = (0..18).map(|n| proxy.client_after_request(&format!("id{n}"))).collect();
     proxy.signal("STOP");
     // These clients exceed half of the capacity, and their connections arrive before the requests below.
-    let _crowd: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
+    let _new_clients: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     for (n, client) in clients.iter_mut().take(6).enumerate() {
         client.send(&["OBJ.GET", "k", &format!("late{n}"), "c=read,t=acme,d=2000"]);
     }
@@ -501,11 +502,11 @@
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     // An eighth of 12 MiB fits 25 of these incomplete commands.
     let proxy = Proxy::with_limits(&discovery, &list, (1024, 12), None);
-    let half = format!("*5\r\n$7\r\nOBJ.SET\r\n$65536\r\n{}", "x".repeat(60_000));
+    let incomplete = format!("*5\r\n$7\r\nOBJ.SET\r\n$65536\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
     let mut other = proxy.client();
     for client in &mut clients {
-        client.stream.write_all(half.as_bytes()).unwrap();
+        client.stream.write_all(incomplete.as_bytes()).unwrap();
         // A PING in between makes the proxy read the commands in order.
         assert_eq!(other.request(&["PING"]), Value::Simple(b"PONG".to_vec()));
     }
@@ -621,8 +622,8 @@
         clients[0].send(&["OBJ.GET", "k", "id0", read]);
         clients[1].send(&["OBJ.GET", "miss", "id1", read]);
         clients[2].send(&["OBJ.SET", "k", "id2", "c=close,t=acme,d=600", "v"]);
-        let half = b"*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk2\r\n$3\r\nid3\r\n$20\r\nc=read,t=a";
-        clients[3].stream.write_all(half).unwrap();
+        let incomplete = b"*4\r\n$7\r\nOBJ.GET\r\n$2\r\nk2\r\n$3\r\nid3\r\n$20\r\nc=read,t=a";
+        clients[3].stream.write_all(incomplete).unwrap();
         std::thread::sleep(Duration::from_millis(60));
         // By now the backend has reported a miss and the fetch from the origin is in flight.
         clients[4].send(&["OBJ.GET", "miss", "id4", read]);
@@ -655,10 +656,10 @@
     let list =
         [endpoint_entry("w", &backend, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    let whole = b"*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$3\r\nid0\r\n$20\r\nc=read,t=acme,d=2000\r\n";
-    for at in 0..=whole.len() {
+    let command = b"*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$3\r\nid0\r\n$20\r\nc=read,t=acme,d=2000\r\n";
+    for length in 0..=command.len() {
         let mut client = proxy.client();
-        client.stream.write_all(&whole[..at]).unwrap();
+        client.stream.write_all(&command[..length]).unwrap();
     }
     let mut pipelining = proxy.client();
     for n in 0..20 {
--- a/cli/tests/sockets.rs
+++ b/cli/tests/sockets.rs
@@ -155,11 +155,11 @@
     }));
     let list = [endpoint_entry("w", &slow, "in_service", 0), endpoint_entry("o", &origin, "in_service", 0)];
     let proxy = Proxy::start(&discovery, &list);
-    let whole = b"*4\r\n$7\r\nOBJ.GET\r\n$4\r\nslow\r\n$3\r\nid0\r\n$20\r\nc=read,t=acme,d=2000\r\n";
+    let command = b"*4\r\n$7\r\nOBJ.GET\r\n$4\r\nslow\r\n$3\r\nid0\r\n$20\r\nc=read,t=acme,d=2000\r\n";
     // Before the first byte, within the command, after the last byte, and before the answer.
-    for at in (0..whole.len()).step_by(9).chain([whole.len(), whole.len()]) {
+    for length in (0..command.len()).step_by(9).chain([command.len(), command.len()]) {
         let mut client = proxy.client();
-        client.stream.write_all(&whole[..at]).unwrap();
+        client.stream.write_all(&command[..length]).unwrap();
         reset(client.stream);
     }
     // After pipelined commands with unread answers, and in the middle of a large value.
@@ -311,9 +311,9 @@
                 endpoint_entry_at("o", origin, "in_service", 0),
             ];
             let proxy = Proxy::start(&discovery, &list);
-            let whole = Some(bulk(&"x".repeat(length)));
+            let expected = Some(bulk(&"x".repeat(length)));
             let answers: Vec<_> = (0..4).map(|n| read_once(&proxy, "k", &format!("id{n}"))).collect();
-            let forwarded = answers.iter().filter(|a| **a == whole).count();
+            let forwarded = answers.iter().filter(|a| **a == expected).count();
             let rejected =
                 answers.iter().filter(|a| a.as_ref().is_some_and(|a| is_busy(a) || is_failed(a))).count();
             assert_eq!(forwarded + rejected, 4, "{length} bytes, closes: {closes}");
--- a/cli/tests/wire.rs
+++ b/cli/tests/wire.rs
@@ -93,8 +93,8 @@
         let mut client = proxy.client();
         for n in 0..3 {
             let got = client.get("k", &format!("read-{n}"), 2000);
-            let whole = [bulk("from the worker"), bulk("from the origin")].contains(&got);
-            assert!(whole, "{rule}, read {n}: {got:?}");
+            let intact = [bulk("from the worker"), bulk("from the origin")].contains(&got);
+            assert!(intact, "{rule}, read {n}: {got:?}");
         }
         assert!(relay.with(|r| r.seen().hits).unwrap() > 0, "{rule}: the fault was not applied");
     }
