--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Keeps one decision instance for each balancer and translates between the wire and the library.
 //! Instances share nothing but the numbered lists that the wire itself shares.
 
-use crate::error::{InputError, Place};
-use crate::instance::{outcome, Instance};
+use crate::error::{InputError, Position};
+use crate::instance::{outcome_from_code, Instance};
 use crate::wire::{self, Output};
 use notchdoor::{Action, Event, Micros};
 use notchdoor_settings::{micros, Millis};
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
-    lists: HashMap<u64, Vec<wire::Entry>>,
+    endpoint_lists: HashMap<u64, Vec<wire::Entry>>,
     batch: Option<u64>,
     now: Micros,
     actions: Vec<Action>,
@@ -22,11 +22,11 @@
 
 /// The clock begins anywhere; this far from 0 it is no clock, in milliseconds: some hundred thousand years. Beyond
 /// that, adding a wait to the time could take it past what a number holds.
-const MAX_MILLIS: Millis = 4e15;
+const MAX_ABS_TIME_MS: Millis = 4e15;
 /// Lists are numbered from 0 to 15 and used again.
-const MAX_LISTS: usize = 16;
+const MAX_ENDPOINT_LISTS: usize = 16;
 /// What errors call a message whose kind could not be read.
-const UNREAD_MESSAGE: &str = "?";
+const UNKNOWN_MESSAGE_KIND: &str = "?";
 
 /// A message within a batch, for errors and to be read as its kind.
 #[derive(Clone, Copy)]
@@ -37,8 +37,8 @@
 }
 
 impl<'m> Message<'m> {
-    fn read<T: Deserialize<'m>>(&self) -> Result<T, InputError> {
-        read(self.line, self.kind, Place::Batch(self.batch))
+    fn parse<T: Deserialize<'m>>(&self) -> Result<T, InputError> {
+        parse(self.line, self.kind, Position::Batch(self.batch))
     }
 
     fn unknown_instance(&self, who: &str) -> InputError {
@@ -46,9 +46,9 @@
     }
 }
 
-fn read<'m, T: Deserialize<'m>>(line: &'m [u8], kind: &str, place: Place) -> Result<T, InputError> {
-    serde_json::from_slice(line).map_err(|source| InputError::BadMessage {
-        place,
+fn parse<'m, T: Deserialize<'m>>(line: &'m [u8], kind: &str, position: Position) -> Result<T, InputError> {
+    serde_json::from_slice(line).map_err(|source| InputError::InvalidMessage {
+        position,
         message: kind.to_owned(),
         source,
     })
@@ -61,86 +61,86 @@
     }
 
     /// Where in the input the next line stands.
-    pub fn place(&self) -> Place {
+    pub fn position(&self) -> Position {
         self.batch.into()
     }
 
     /// Takes one line. True when the batch is complete and `reply` holds its answer.
-    pub fn line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
-        let head: wire::Head = read(line, UNREAD_MESSAGE, self.place())?;
+    pub fn handle_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
+        let head: wire::Head = parse(line, UNKNOWN_MESSAGE_KIND, self.position())?;
         let kind = &*head.m;
         if kind == "sync" {
-            self.begin_batch(&read(line, kind, self.place())?)?;
+            self.begin_batch(&parse(line, kind, self.position())?)?;
             return Ok(false);
         }
         let Some(batch) = self.batch else {
-            return Err(InputError::OutsideBatch { message: kind.to_owned() });
+            return Err(InputError::MessageOutsideBatch { message: kind.to_owned() });
         };
         if kind == "eob" {
             Output::Done { round: batch }.append_to(reply);
             self.batch = None;
             return Ok(true);
         }
-        self.message(Message { line, kind, batch }, reply)?;
+        self.dispatch(Message { line, kind, batch }, reply)?;
         Ok(false)
     }
 
     /// Called at the end of the input.
-    pub fn at_end(&self) -> Result<(), InputError> {
+    pub fn check_batch_complete(&self) -> Result<(), InputError> {
         match self.batch {
-            Some(batch) => Err(InputError::EndWithinBatch { batch }),
+            Some(batch) => Err(InputError::IncompleteBatch { batch }),
             None => Ok(()),
         }
     }
 
     fn begin_batch(&mut self, sync: &wire::Sync) -> Result<(), InputError> {
         if let Some(open) = self.batch {
-            return Err(InputError::BatchWithinBatch { open, next: sync.round });
+            return Err(InputError::NestedBatch { open, next: sync.round });
         }
-        if !(-MAX_MILLIS..=MAX_MILLIS).contains(&sync.t) {
-            return Err(InputError::NotATime { batch: sync.round });
+        if !(-MAX_ABS_TIME_MS..=MAX_ABS_TIME_MS).contains(&sync.t) {
+            return Err(InputError::InvalidTime { batch: sync.round });
         }
         self.batch = Some(sync.round);
         self.now = micros(sync.t).max(self.now);
         Ok(())
     }
 
-    fn message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) -> Result<(), InputError> {
+    fn dispatch(&mut self, message: Message<'_>, reply: &mut Vec<u8>) -> Result<(), InputError> {
         match message.kind {
-            "enlist" => self.enlist(&message.read()?),
+            "enlist" => self.enlist(&message.parse()?),
             "down" => {
-                let down: wire::Addressed = message.read()?;
+                let down: wire::Addressed = message.parse()?;
                 self.instances.remove(&*down.who);
                 Ok(())
             }
-            "sheet" => self.keep_list(message, message.read()?),
-            "peersKnown" => self.peers_known(message, &message.read()?, reply),
+            "sheet" => self.store_endpoint_list(message, message.parse()?),
+            "peersKnown" => self.peers_known(message, &message.parse()?, reply),
             "incoming" => {
-                let incoming: wire::Incoming = message.read()?;
-                self.feed(message, &incoming.who, reply, |i| Some(i.arrived(&incoming)))
+                let incoming: wire::Incoming = message.parse()?;
+                self.deliver_event(message, &incoming.who, reply, |i| Some(i.request_arrived(&incoming)))
             }
-            "ended" => self.ended(message, &message.read()?, reply),
+            "ended" => self.ended(message, &message.parse()?, reply),
             "abandoned" => {
-                let abandoned: wire::Abandoned = message.read()?;
-                self.feed(message, &abandoned.who, reply, |instance| {
+                let abandoned: wire::Abandoned = message.parse()?;
+                self.deliver_event(message, &abandoned.who, reply, |instance| {
                     let id = instance.request_id(&abandoned.ticket)?;
-                    instance.request_over(id);
+                    instance.request_done(id);
                     Some(Event::ClientLeft(id))
                 })
             }
             "started" => {
-                let started: wire::Started = message.read()?;
-                self.feed(message, &started.who, reply, |instance| {
+                let started: wire::Started = message.parse()?;
+                self.deliver_event(message, &started.who, reply, |instance| {
                     let id = instance.request_id(&started.ticket)?;
                     Some(Event::ReplyStarted { id, attempt: started.attempt, took: None })
                 })
             }
             "timeoutFired" => {
-                let fired: wire::TimeoutFired = message.read()?;
-                self.feed(message, &fired.who, reply, |_| Some(Event::Timer(fired.ctx)))
+                let fired: wire::TimeoutFired = message.parse()?;
+                self.deliver_event(message, &fired.who, reply, |_| Some(Event::Timer(fired.ctx)))
             }
             // Nothing is decided on these.
-            "peerData" | "pong" => message.read::<wire::Addressed>().map(drop),
+            "peerData" | "pong" => message.parse::<wire::Addressed>().map(drop),
             kind => Err(InputError::UnknownMessage { batch: message.batch, message: kind.to_owned() }),
         }
     }
@@ -152,15 +152,16 @@
         Ok(())
     }
 
-    fn keep_list(&mut self, message: Message<'_>, sheet: wire::Sheet) -> Result<(), InputError> {
-        if !self.lists.contains_key(&sheet.buffer) && self.lists.len() >= MAX_LISTS {
-            return Err(InputError::TooManyLists {
+    fn store_endpoint_list(&mut self, message: Message<'_>, sheet: wire::Sheet) -> Result<(), InputError> {
+        if !self.endpoint_lists.contains_key(&sheet.buffer) && self.endpoint_lists.len() >= MAX_ENDPOINT_LISTS
+        {
+            return Err(InputError::TooManyEndpointLists {
                 batch: message.batch,
                 message: message.kind.to_owned(),
-                max_lists: MAX_LISTS,
+                max_lists: MAX_ENDPOINT_LISTS,
             });
         }
-        self.lists.insert(sheet.buffer, sheet.members_list);
+        self.endpoint_lists.insert(sheet.buffer, sheet.members_list);
         Ok(())
     }
 
@@ -171,20 +172,20 @@
         reply: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         if matches!(known.form, wire::Form::Error) {
-            return self.feed(message, &known.who, reply, |_| Some(Event::DiscoveryError));
+            return self.deliver_event(message, &known.who, reply, |_| Some(Event::DiscoveryError));
         }
-        let list = self.lists.get(&known.buffer).ok_or_else(|| InputError::UnknownList {
+        let list = self.endpoint_lists.get(&known.buffer).ok_or_else(|| InputError::UnknownEndpointList {
             batch: message.batch,
             message: message.kind.to_owned(),
             buffer: known.buffer,
         })?;
         let instance = self.instances.get(&*known.who).ok_or_else(|| message.unknown_instance(&known.who))?;
-        let members = instance.members(list);
+        let endpoints = instance.endpoints(list);
         let event = match known.form {
-            wire::Form::Partial => Event::EndpointUpdate(&members),
-            _ => Event::EndpointList(&members),
+            wire::Form::Partial => Event::EndpointUpdate(&endpoints),
+            _ => Event::EndpointList(&endpoints),
         };
-        self.feed(message, &known.who, reply, |_| Some(event))
+        self.deliver_event(message, &known.who, reply, |_| Some(event))
     }
 
     fn ended(
@@ -193,12 +194,12 @@
         ended: &wire::Ended,
         reply: &mut Vec<u8>,
     ) -> Result<(), InputError> {
-        let outcome = outcome(ended.code).ok_or_else(|| InputError::UnknownOutcome {
+        let outcome = outcome_from_code(ended.code).ok_or_else(|| InputError::UnknownOutcomeCode {
             batch: message.batch,
             message: message.kind.to_owned(),
             code: ended.code,
         })?;
-        self.feed(message, &ended.who, reply, |instance| {
+        self.deliver_event(message, &ended.who, reply, |instance| {
             let id = instance.request_id(&ended.ticket)?;
             instance.attempt_ended(id, ended.last);
             let took = Some(micros(ended.took));
@@ -207,7 +208,7 @@
     }
 
     /// Hands one event to an instance and writes what it wants done.
-    fn feed<'e>(
+    fn deliver_event<'e>(
         &mut self,
         message: Message<'_>,
         who: &str,
@@ -218,7 +219,7 @@
         if let Some(event) = event(instance) {
             instance.handle(self.now, event, &mut self.actions);
             for action in self.actions.drain(..) {
-                instance.write(who, action, self.now, reply);
+                instance.write_action(who, action, self.now, reply);
             }
         }
         Ok(())
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// What errors of a policy file call it: its text comes without its path.
-const POLICY_FILE: &str = "NOTCHDOOR_POLICY";
+const POLICY_FILE_NAME: &str = "NOTCHDOOR_POLICY";
 /// The bit of a request's state that says it is a write.
 const WRITE_BIT: u32 = 4;
 const MICROS_PER_MILLI: f64 = 1000.0;
@@ -20,15 +20,15 @@
     stack: Stack,
     names: DeploymentNames,
     ids: HashMap<String, RequestId>,
-    requests: HashMap<RequestId, KnownRequest>,
+    requests: HashMap<RequestId, TrackedRequest>,
     next_id: RequestId,
 }
 
 /// A request's name on the wire, kept for as long as the wire may still speak of it.
-struct KnownRequest {
+struct TrackedRequest {
     name: String,
-    attempts_out: u32,
-    over: bool,
+    attempts_in_flight: u32,
+    done: bool,
 }
 
 impl Instance {
@@ -39,7 +39,7 @@
         seed: u64,
         now: Micros,
     ) -> Result<Self, InputError> {
-        let read = |text| policy_file::parse(POLICY_FILE, text, &settings.policy_context());
+        let read = |text| policy_file::parse(POLICY_FILE_NAME, text, &settings.policy_context());
         let policy = policy.map(read).transpose().map_err(InputError::Policy)?;
         Ok(Instance {
             stack: Stack::new(settings.settings(), policy.map(Arc::new), seed, now),
@@ -61,8 +61,8 @@
     }
 
     /// A list's entries, with numbers in place of names.
-    pub fn members(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
-        let member = |entry: &wire::Entry| Endpoint {
+    pub fn endpoints(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
+        let endpoint = |entry: &wire::Entry| Endpoint {
             server: entry.node,
             kind: index_of(&self.names.kinds, &entry.flavor).unwrap_or(u32::MAX),
             zone: index_of(&self.names.zones, &entry.campus).unwrap_or(u32::MAX),
@@ -71,16 +71,16 @@
             started_at: micros(entry.up_since),
             state: entry.readiness.into(),
         };
-        entries.iter().map(member).collect()
+        entries.iter().map(endpoint).collect()
     }
 
     /// A request that has come, which gets a number.
-    pub fn arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
+    pub fn request_arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
         let id = self.next_id;
         self.next_id += 1;
         let name = incoming.ticket.to_string();
         self.ids.insert(name.clone(), id);
-        self.requests.insert(id, KnownRequest { name, attempts_out: 0, over: false });
+        self.requests.insert(id, TrackedRequest { name, attempts_in_flight: 0, done: false });
         let tenant = match &incoming.customer {
             Some(wire::Customer::Name(name)) => index_of(&self.names.tenants, name),
             _ => None,
@@ -98,31 +98,31 @@
     }
 
     /// Notes that an attempt has ended, and whether its request is over with it.
-    pub fn attempt_ended(&mut self, id: RequestId, over: bool) {
+    pub fn attempt_ended(&mut self, id: RequestId, done: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.attempts_out = request.attempts_out.saturating_sub(1);
-            request.over |= over;
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+            request.done |= done;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
     /// Notes that a request is over: it has its answer, or its client has left.
-    pub fn request_over(&mut self, id: RequestId) {
+    pub fn request_done(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.over = true;
+            request.done = true;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    fn forget_if_done(&mut self, id: RequestId) {
-        if let Some(done) = self.requests.get(&id).filter(|r| r.over && r.attempts_out == 0) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if let Some(done) = self.requests.get(&id).filter(|r| r.done && r.attempts_in_flight == 0) {
             self.ids.remove(&done.name);
             self.requests.remove(&id);
         }
     }
 
     /// Writes an action for the balancer `who`.
-    pub fn write(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
+    pub fn write_action(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
         let ticket = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let output = match &action {
             Action::Send { id, server, give_up_at, .. } => Output::Route {
@@ -143,10 +143,10 @@
         match action {
             Action::Send { id, .. } => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.attempts_out += 1;
+                    request.attempts_in_flight += 1;
                 }
             }
-            Action::Reject { id, .. } | Action::Fail { id } => self.request_over(id),
+            Action::Reject { id, .. } | Action::Fail { id } => self.request_done(id),
             Action::Cancel { .. } | Action::Timer { .. } | Action::Watch => {}
         }
     }
@@ -157,7 +157,7 @@
 }
 
 /// The outcome that a code of the wire stands for.
-pub fn outcome(code: u32) -> Option<Outcome> {
+pub fn outcome_from_code(code: u32) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Ok,
         2 => Outcome::Miss,
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -8,7 +8,7 @@
 mod instance;
 mod wire;
 
-use error::{InputError, Place};
+use error::{InputError, Position};
 use host::Host;
 use notchdoor_settings::bounded_file;
 use std::io::{self, BufRead, BufWriter, Read, Write};
@@ -19,7 +19,7 @@
 const MAX_LINE_BYTES: u64 = 16 << 20;
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 /// Names a file of the operators' limits: the same that a proxy takes.
-const POLICY_VARIABLE: &str = "NOTCHDOOR_POLICY";
+const POLICY_ENV_VAR: &str = "NOTCHDOOR_POLICY";
 
 /// Why the adapter ends before its input does.
 #[derive(Debug, thiserror::Error)]
@@ -37,24 +37,24 @@
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
-    let mut host = Host::with_policy(policy()?);
+    let mut host = Host::with_policy(read_policy()?);
     let mut reply = Vec::new();
     let mut line = Vec::new();
-    while read_line(&mut input, &mut line, host.place())? {
+    while read_line(&mut input, &mut line, host.position())? {
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        if host.line(&line, &mut reply)? {
+        if host.handle_line(&line, &mut reply)? {
             output.write_all(&reply).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
             reply.clear();
         }
     }
-    Ok(host.at_end()?)
+    Ok(host.check_batch_complete()?)
 }
 
 /// The text of the policy file, where there is one.
-fn policy() -> Result<Option<String>, AdapterError> {
-    let Ok(path) = std::env::var(POLICY_VARIABLE) else { return Ok(None) };
+fn read_policy() -> Result<Option<String>, AdapterError> {
+    let Ok(path) = std::env::var(POLICY_ENV_VAR) else { return Ok(None) };
     match bounded_file::read_text(Path::new(&path), bounded_file::MAX_AUTHORED_BYTES) {
         Ok(text) => Ok(Some(text)),
         Err(source) => Err(AdapterError::Policy { path, source }),
@@ -62,11 +62,11 @@
 }
 
 /// Reads the next line; false at the end of the input.
-fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>, place: Place) -> Result<bool, AdapterError> {
+fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>, position: Position) -> Result<bool, AdapterError> {
     line.clear();
     let read = input.take(MAX_LINE_BYTES + 1).read_until(b'\n', line).map_err(AdapterError::Read)?;
     if line.len() as u64 > MAX_LINE_BYTES {
-        return Err(InputError::LongLine { place, max_bytes: MAX_LINE_BYTES }.into());
+        return Err(InputError::LineTooLong { position, max_bytes: MAX_LINE_BYTES }.into());
     }
     Ok(read > 0)
 }
