--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,14 +1,14 @@
-//! What is wrong with the input, with its place.
+//! Errors in the adapter's input, each with its position.
 
 use notchdoor_limits::policy_file::PolicyError;
 use std::fmt;
 
-/// Where in the input an error stands.
+/// The position of an error in the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Position {
-    /// Outside a batch, before the first one or between two.
+    /// Before the first batch or between two batches.
     OutsideBatch,
-    /// In the batch of this number.
+    /// In the batch with this number.
     Batch(u64),
 }
 
@@ -21,49 +21,49 @@
 impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Position::OutsideBatch => f.write_str("before the first batch"),
+            Position::OutsideBatch => f.write_str("outside a batch"),
             Position::Batch(number) => write!(f, "batch {number}"),
         }
     }
 }
 
-/// An error of the input. None of them is mended by reading on.
+/// An input error. All of them are fatal: the adapter stops reading.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
-    /// A line is no message of its kind.
+    /// A line is not valid JSON, or its fields do not fit its message kind.
     #[error("{position}, message '{message}': {source}")]
     InvalidMessage { position: Position, message: String, source: serde_json::Error },
-    /// A line is longer than any message.
-    #[error("{position}: a line of more than {max_bytes} bytes")]
+    /// A line exceeds the maximum length.
+    #[error("{position}: line exceeds {max_bytes} bytes")]
     LineTooLong { position: Position, max_bytes: u64 },
-    /// A batch begins within another one.
-    #[error("batch {open}: 'sync' of batch {next} before 'eob'")]
+    /// A `sync` arrived before the previous batch ended.
+    #[error("batch {open}: 'sync' of batch {next} received before 'eob'")]
     NestedBatch { open: u64, next: u64 },
-    /// A batch's time is none.
-    #[error("batch {batch}, message 'sync': field `t` is not a time")]
+    /// The time of a `sync` is out of range.
+    #[error("batch {batch}, message 'sync': field `t` is out of range")]
     InvalidTime { batch: u64 },
-    /// A message stands outside a batch.
-    #[error("message '{message}' outside a batch: 'sync' is missing")]
+    /// A message arrived before the `sync` that starts its batch.
+    #[error("message '{message}' received outside a batch: missing 'sync'")]
     MessageOutsideBatch { message: String },
-    /// The input ends within a batch.
-    #[error("batch {batch}: the input ends before 'eob'")]
+    /// The input ended before the `eob` of the current batch.
+    #[error("batch {batch}: input ended before 'eob'")]
     IncompleteBatch { batch: u64 },
-    /// There is no message of this kind.
+    /// The message kind is unknown.
     #[error("batch {batch}: unknown message '{message}'")]
     UnknownMessage { batch: u64, message: String },
-    /// More lists are kept than there are numbers for.
-    #[error("batch {batch}, message '{message}': field `buffer`: more than {max_lists}")]
+    /// A `sheet` would exceed the number of stored endpoint lists.
+    #[error("batch {batch}, message '{message}': field `buffer`: more than {max_lists} endpoint lists")]
     TooManyEndpointLists { batch: u64, message: String, max_lists: usize },
-    /// There is no list of this number.
-    #[error("batch {batch}, message '{message}': field `buffer` names no sheet: {buffer}")]
+    /// No stored endpoint list has this number.
+    #[error("batch {batch}, message '{message}': field `buffer`: no endpoint list has number {buffer}")]
     UnknownEndpointList { batch: u64, message: String, buffer: u64 },
-    /// There is no instance of this name.
-    #[error("batch {batch}, message '{message}': field `who` names no running instance: '{who}'")]
+    /// No running instance has this name.
+    #[error("batch {batch}, message '{message}': field `who`: no running instance is named '{who}'")]
     UnknownInstance { batch: u64, message: String, who: String },
-    /// There is no outcome of this code.
-    #[error("batch {batch}, message '{message}': field `code` is unknown: {code}")]
+    /// The outcome code is unknown.
+    #[error("batch {batch}, message '{message}': field `code`: unknown outcome code {code}")]
     UnknownOutcomeCode { batch: u64, message: String, code: u32 },
-    /// The policy file does not fit the instance's settings.
+    /// The policy file is invalid for the instance's settings.
     #[error("{}", one_per_line(.0))]
     Policy(Vec<PolicyError>),
 }
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,5 +1,5 @@
-//! Keeps one decision instance for each balancer and translates between the wire and the library.
-//! Instances share nothing but the numbered lists that the wire itself shares.
+//! Dispatches input messages to one decision instance per balancer and collects their actions.
+//! Instances share only the numbered endpoint lists.
 
 use crate::error::{InputError, Position};
 use crate::instance::{outcome_from_code, Instance};
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// Every instance in this process, and the batch being read.
+/// All instances of this process, and the state of the current batch.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
@@ -20,15 +20,14 @@
     policy: Option<String>,
 }
 
-/// The clock begins anywhere; this far from 0 it is no clock, in milliseconds: some hundred thousand years. Beyond
-/// that, adding a wait to the time could take it past what a number holds.
+/// Largest accepted distance of a time from 0. Adding a duration to a time beyond it could overflow [`Micros`].
 const MAX_ABS_TIME_MS: Millis = 4e15;
-/// Lists are numbered from 0 to 15 and used again.
+/// Buffers are numbered from 0 to 15 and reused.
 const MAX_ENDPOINT_LISTS: usize = 16;
-/// What errors call a message whose kind could not be read.
+/// Stands in for the message kind in errors about a line whose kind could not be parsed.
 const UNKNOWN_MESSAGE_KIND: &str = "?";
 
-/// A message within a batch, for errors and to be read as its kind.
+/// An unparsed message within a batch.
 #[derive(Clone, Copy)]
 struct Message<'m> {
     line: &'m [u8],
@@ -55,17 +54,18 @@
 }
 
 impl Host {
-    /// A host whose instances all have this policy file's limits.
+    /// Creates a host whose instances all apply the policy file with this text.
     pub fn with_policy(policy: Option<String>) -> Self {
         Host { policy, ..Host::default() }
     }
 
-    /// Where in the input the next line stands.
+    /// The position of the next line in the input.
     pub fn position(&self) -> Position {
         self.batch.into()
     }
 
-    /// Takes one line. True when the batch is complete and `reply` holds its answer.
+    /// Handles one input line and appends its output to `reply`. Returns true at the end of a batch, when the reply is
+    /// ready to be sent.
     pub fn handle_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
         let head: wire::Head = parse(line, UNKNOWN_MESSAGE_KIND, self.position())?;
         let kind = &*head.m;
@@ -85,7 +85,7 @@
         Ok(false)
     }
 
-    /// Called at the end of the input.
+    /// Returns an error if the input ended within a batch.
     pub fn check_batch_complete(&self) -> Result<(), InputError> {
         match self.batch {
             Some(batch) => Err(InputError::IncompleteBatch { batch }),
@@ -139,7 +139,7 @@
                 let fired: wire::TimeoutFired = message.parse()?;
                 self.deliver_event(message, &fired.who, reply, |_| Some(Event::Timer(fired.ctx)))
             }
-            // Nothing is decided on these.
+            // The library has no event for these; only their form is checked.
             "peerData" | "pong" => message.parse::<wire::Addressed>().map(drop),
             kind => Err(InputError::UnknownMessage { batch: message.batch, message: kind.to_owned() }),
         }
@@ -207,7 +207,7 @@
         })
     }
 
-    /// Hands one event to an instance and writes what it wants done.
+    /// Passes the event that `event` returns, if any, to the instance `who` and appends the resulting actions to `reply`.
     fn deliver_event<'e>(
         &mut self,
         message: Message<'_>,
--- a/adapter/src/host/tests.rs
+++ b/adapter/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Days on the wire that are cut off, corrupted or beyond a bound.
+//! Truncated, corrupted and out-of-range input.
 
 use super::*;
 
@@ -21,12 +21,12 @@
         for text in [&EXCHANGE.as_bytes()[..at], &corrupted] {
             if let Err(error) = run_host(text).map_err(|e| e.to_string()) {
                 rejected += 1;
-                let prefixes = ["batch ", "before the first batch", "message '"];
+                let prefixes = ["batch ", "outside a batch", "message '"];
                 assert!(prefixes.iter().any(|p| error.starts_with(p)), "at {at}: {error}");
             }
         }
     }
-    assert!(rejected > EXCHANGE.len(), "most of these are no day: {rejected}");
+    assert!(rejected > EXCHANGE.len(), "only {rejected} inputs were rejected");
 }
 
 #[test]
@@ -35,11 +35,11 @@
         (0..17).map(|n| format!("{{\"m\":\"sheet\",\"buffer\":{n},\"membersList\":[]}}\n")).collect();
     let start = "{\"m\":\"sync\",\"t\":1.0,\"round\":1}\n";
     for (text, prefix) in [
-        (format!("{start}{sheets}"), "batch 1, message 'sheet': field `buffer`: more than 16"),
-        (start.replace("1.0", "1e300"), "batch 1, message 'sync': field `t` is not a time"),
-        (start.replace("1.0", "-1e300"), "batch 1, message 'sync': field `t` is not a time"),
-        (start.replace("1.0", "1e999"), "before the first batch, message 'sync': number out of range"),
-        ("[".repeat(100_000), "before the first batch, message '?': "),
+        (format!("{start}{sheets}"), "batch 1, message 'sheet': field `buffer`: more than 16 endpoint lists"),
+        (start.replace("1.0", "1e300"), "batch 1, message 'sync': field `t` is out of range"),
+        (start.replace("1.0", "-1e300"), "batch 1, message 'sync': field `t` is out of range"),
+        (start.replace("1.0", "1e999"), "outside a batch, message 'sync': number out of range"),
+        ("[".repeat(100_000), "outside a batch, message '?': "),
     ] {
         let error = run_host(text.as_bytes()).unwrap_err().to_string();
         assert!(error.starts_with(prefix), "{error:.200}");
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer: its decisions, and the names that the library knows as numbers.
+//! One balancer: its decision stack, and the mapping from names on the wire to the numeric ids of the library.
 
 use crate::error::InputError;
 use crate::wire::{self, Output};
@@ -9,13 +9,13 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What errors of a policy file call it: its text comes without its path.
+/// Stands in for the path in policy-file errors, since only the text of the file is passed in.
 const POLICY_FILE_NAME: &str = "NOTCHDOOR_POLICY";
-/// The bit of a request's state that says it is a write.
+/// Set in `stateBits` for a write request.
 const WRITE_BIT: u32 = 4;
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// One balancer.
+/// A balancer with its own decision stack, settings and request ids.
 pub struct Instance {
     stack: Stack,
     names: DeploymentNames,
@@ -24,7 +24,7 @@
     next_id: RequestId,
 }
 
-/// A request's name on the wire, kept for as long as the wire may still speak of it.
+/// A request that later messages may still refer to, with its name on the wire.
 struct TrackedRequest {
     name: String,
     attempts_in_flight: u32,
@@ -32,7 +32,7 @@
 }
 
 impl Instance {
-    /// `policy` is the text of a policy file; the settings that it is checked against come with the instance.
+    /// `policy` is the text of a policy file; it is validated against `settings`.
     pub fn new(
         settings: &DeploymentSettings,
         policy: Option<&str>,
@@ -50,17 +50,17 @@
         })
     }
 
-    /// Takes one event and appends what is to be done at once.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.stack.handle(now, event, actions);
     }
 
-    /// The number of a request that the wire may still speak of.
+    /// The id of a tracked request; `None` for a request that is unknown or already removed.
     pub fn request_id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// A list's entries, with numbers in place of names.
+    /// Converts list entries to endpoints; a kind or zone that the settings do not name becomes `u32::MAX`.
     pub fn endpoints(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
         let endpoint = |entry: &wire::Entry| Endpoint {
             server: entry.node,
@@ -74,7 +74,7 @@
         entries.iter().map(endpoint).collect()
     }
 
-    /// A request that has come, which gets a number.
+    /// Assigns an id to a new request and returns its arrival event.
     pub fn request_arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
         let id = self.next_id;
         self.next_id += 1;
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Notes that an attempt has ended, and whether its request is over with it.
+    /// Records the end of an attempt; `done` if it also completes the request.
     pub fn attempt_ended(&mut self, id: RequestId, done: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -106,7 +106,7 @@
         self.remove_if_done(id);
     }
 
-    /// Notes that a request is over: it has its answer, or its client has left.
+    /// Records that a request was answered or abandoned. It stays tracked while attempts are in flight.
     pub fn request_done(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.done = true;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Writes an action for the balancer `who`.
+    /// Appends the message for an action of the balancer `who`.
     pub fn write_action(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
         let ticket = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let output = match &action {
@@ -156,7 +156,7 @@
     t as f64 / MICROS_PER_MILLI
 }
 
-/// The outcome that a code of the wire stands for.
+/// Maps an outcome code on the wire to an [`Outcome`]; `None` if the code is unknown.
 pub fn outcome_from_code(code: u32) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Ok,
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts decision instances behind a line-based JSON wire: reads batches of events on standard input and
-//! writes one reply a batch on standard output. Nothing is decided here.
+//! Hosts decision instances behind a line-based JSON protocol: reads batches of events from standard input and
+//! writes one reply per batch to standard output. All decisions are made by the library.
 
 #![forbid(unsafe_code)]
 
@@ -15,13 +15,13 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The longest line that is read: a list of some hundred thousand servers.
+/// Maximum length of an input line; an endpoint list with 100,000 servers fits.
 const MAX_LINE_BYTES: u64 = 16 << 20;
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
-/// Names a file of the operators' limits: the same that a proxy takes.
+/// Path of an optional policy file, in the same format as for a proxy.
 const POLICY_ENV_VAR: &str = "NOTCHDOOR_POLICY";
 
-/// Why the adapter ends before its input does.
+/// A fatal error of the adapter.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error("{path}: cannot read: {source}")]
@@ -52,7 +52,7 @@
     Ok(host.check_batch_complete()?)
 }
 
-/// The text of the policy file, where there is one.
+/// Returns the text of the policy file, or `None` if the environment variable is unset.
 fn read_policy() -> Result<Option<String>, AdapterError> {
     let Ok(path) = std::env::var(POLICY_ENV_VAR) else { return Ok(None) };
     match bounded_file::read_text(Path::new(&path), bounded_file::MAX_AUTHORED_BYTES) {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads the next line; false at the end of the input.
+/// Reads the next line into `line`; returns false at the end of the input.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>, position: Position) -> Result<bool, AdapterError> {
     line.clear();
     let read = input.take(MAX_LINE_BYTES + 1).read_until(b'\n', line).map_err(AdapterError::Read)?;
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,10 +1,10 @@
-//! The messages of the wire. Fields that are not named here are skipped.
+//! The JSON messages of the simulator protocol. Types are named after their message; unknown fields are ignored.
 
 use notchdoor_settings::{DeploymentSettings, Millis, Readiness};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The part that every message has.
+/// The field that every message has: its kind.
 #[derive(Deserialize)]
 pub struct Head<'a> {
     #[serde(borrow)]
@@ -71,7 +71,7 @@
     pub buffer: u64,
 }
 
-/// A tenant's name, or a number where there is none.
+/// A tenant's name; any other JSON value means that the request has no tenant.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum Customer<'a> {
@@ -135,7 +135,7 @@
     pub ctx: u64,
 }
 
-/// Any message of which only the instance matters here.
+/// A message of which only the instance name is used.
 #[derive(Deserialize)]
 pub struct Addressed<'a> {
     #[serde(borrow)]
@@ -183,9 +183,9 @@
 }
 
 impl Output<'_> {
-    /// Appends the message and the end of its line.
+    /// Appends the message as one line of JSON.
     pub fn append_to(&self, reply: &mut Vec<u8>) {
-        serde_json::to_writer(&mut *reply, self).expect("plain values always serialise");
+        serde_json::to_writer(&mut *reply, self).expect("messages always serialize to JSON");
         reply.push(b'\n');
     }
 }
