--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -68,7 +68,7 @@
     /// ready to be sent.
     pub fn handle_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
         let head: wire::Head = parse(line, UNKNOWN_MESSAGE_KIND, self.position())?;
-        let kind = &*head.m;
+        let kind = &*head.kind;
         if kind == "sync" {
             self.begin_batch(&parse(line, kind, self.position())?)?;
             return Ok(false);
@@ -77,7 +77,7 @@
             return Err(InputError::MessageOutsideBatch { message: kind.to_owned() });
         };
         if kind == "eob" {
-            Output::Done { round: batch }.append_to(reply);
+            Output::Done { batch: batch }.append_to(reply);
             self.batch = None;
             return Ok(true);
         }
@@ -95,13 +95,13 @@
 
     fn begin_batch(&mut self, sync: &wire::Sync) -> Result<(), InputError> {
         if let Some(open) = self.batch {
-            return Err(InputError::NestedBatch { open, next: sync.round });
+            return Err(InputError::NestedBatch { open, next: sync.batch });
         }
-        if !(-MAX_ABS_TIME_MS..=MAX_ABS_TIME_MS).contains(&sync.t) {
-            return Err(InputError::InvalidTime { batch: sync.round });
+        if !(-MAX_ABS_TIME_MS..=MAX_ABS_TIME_MS).contains(&sync.time) {
+            return Err(InputError::InvalidTime { batch: sync.batch });
         }
-        self.batch = Some(sync.round);
-        self.now = micros(sync.t).max(self.now);
+        self.batch = Some(sync.batch);
+        self.now = micros(sync.time).max(self.now);
         Ok(())
     }
 
@@ -110,34 +110,34 @@
             "enlist" => self.enlist(&message.parse()?),
             "down" => {
                 let down: wire::Addressed = message.parse()?;
-                self.instances.remove(&*down.who);
+                self.instances.remove(&*down.instance);
                 Ok(())
             }
             "sheet" => self.store_endpoint_list(message, message.parse()?),
             "peersKnown" => self.peers_known(message, &message.parse()?, reply),
             "incoming" => {
                 let incoming: wire::Incoming = message.parse()?;
-                self.deliver_event(message, &incoming.who, reply, |i| Some(i.request_arrived(&incoming)))
+                self.deliver_event(message, &incoming.instance, reply, |i| Some(i.request_arrived(&incoming)))
             }
             "ended" => self.ended(message, &message.parse()?, reply),
             "abandoned" => {
                 let abandoned: wire::Abandoned = message.parse()?;
-                self.deliver_event(message, &abandoned.who, reply, |instance| {
-                    let id = instance.request_id(&abandoned.ticket)?;
+                self.deliver_event(message, &abandoned.instance, reply, |instance| {
+                    let id = instance.request_id(&abandoned.request)?;
                     instance.request_done(id);
                     Some(Event::ClientLeft(id))
                 })
             }
             "started" => {
                 let started: wire::Started = message.parse()?;
-                self.deliver_event(message, &started.who, reply, |instance| {
-                    let id = instance.request_id(&started.ticket)?;
+                self.deliver_event(message, &started.instance, reply, |instance| {
+                    let id = instance.request_id(&started.request)?;
                     Some(Event::ReplyStarted { id, attempt: started.attempt, took: None })
                 })
             }
             "timeoutFired" => {
                 let fired: wire::TimeoutFired = message.parse()?;
-                self.deliver_event(message, &fired.who, reply, |_| Some(Event::Timer(fired.ctx)))
+                self.deliver_event(message, &fired.instance, reply, |_| Some(Event::Timer(fired.token)))
             }
             // The library has no event for these; only their form is checked.
             "peerData" | "pong" => message.parse::<wire::Addressed>().map(drop),
@@ -148,7 +148,7 @@
     fn enlist(&mut self, enlist: &wire::Enlist) -> Result<(), InputError> {
         let policy = self.policy.as_deref();
         let instance = Instance::new(&enlist.boot_info, policy, enlist.init_seed, self.now)?;
-        self.instances.insert(enlist.who.to_string(), instance);
+        self.instances.insert(enlist.instance.to_string(), instance);
         Ok(())
     }
 
@@ -172,20 +172,21 @@
         reply: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         if matches!(known.form, wire::Form::Error) {
-            return self.deliver_event(message, &known.who, reply, |_| Some(Event::DiscoveryError));
+            return self.deliver_event(message, &known.instance, reply, |_| Some(Event::DiscoveryError));
         }
         let list = self.endpoint_lists.get(&known.buffer).ok_or_else(|| InputError::UnknownEndpointList {
             batch: message.batch,
             message: message.kind.to_owned(),
             buffer: known.buffer,
         })?;
-        let instance = self.instances.get(&*known.who).ok_or_else(|| message.unknown_instance(&known.who))?;
+        let instance =
+            self.instances.get(&*known.instance).ok_or_else(|| message.unknown_instance(&known.instance))?;
         let endpoints = instance.endpoints(list);
         let event = match known.form {
             wire::Form::Partial => Event::EndpointUpdate(&endpoints),
             _ => Event::EndpointList(&endpoints),
         };
-        self.deliver_event(message, &known.who, reply, |_| Some(event))
+        self.deliver_event(message, &known.instance, reply, |_| Some(event))
     }
 
     fn ended(
@@ -199,11 +200,17 @@
             message: message.kind.to_owned(),
             code: ended.code,
         })?;
-        self.deliver_event(message, &ended.who, reply, |instance| {
-            let id = instance.request_id(&ended.ticket)?;
-            instance.attempt_ended(id, ended.last);
-            let took = Some(micros(ended.took));
-            Some(Event::AttemptEnded { id, attempt: ended.attempt, outcome, took, request_done: ended.last })
+        self.deliver_event(message, &ended.instance, reply, |instance| {
+            let id = instance.request_id(&ended.request)?;
+            instance.attempt_ended(id, ended.request_done);
+            let took = Some(micros(ended.duration));
+            Some(Event::AttemptEnded {
+                id,
+                attempt: ended.attempt,
+                outcome,
+                took,
+                request_done: ended.request_done,
+            })
         })
     }
 
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -63,12 +63,12 @@
     /// Converts list entries to endpoints; a kind or zone that the settings do not name becomes `u32::MAX`.
     pub fn endpoints(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
         let endpoint = |entry: &wire::Entry| Endpoint {
-            server: entry.node,
-            kind: index_of(&self.names.kinds, &entry.flavor).unwrap_or(u32::MAX),
-            zone: index_of(&self.names.zones, &entry.campus).unwrap_or(u32::MAX),
-            cell: entry.cohort,
+            server: entry.server,
+            kind: index_of(&self.names.kinds, &entry.kind).unwrap_or(u32::MAX),
+            zone: index_of(&self.names.zones, &entry.zone).unwrap_or(u32::MAX),
+            cell: entry.cell,
             size: entry.size,
-            started_at: micros(entry.up_since),
+            started_at: micros(entry.started_at),
             state: entry.readiness.into(),
         };
         entries.iter().map(endpoint).collect()
@@ -78,22 +78,22 @@
     pub fn request_arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
         let id = self.next_id;
         self.next_id += 1;
-        let name = incoming.ticket.to_string();
+        let name = incoming.request.to_string();
         self.ids.insert(name.clone(), id);
         self.requests.insert(id, TrackedRequest { name, attempts_in_flight: 0, done: false });
-        let tenant = match &incoming.customer {
+        let tenant = match &incoming.tenant {
             Some(wire::Customer::Name(name)) => index_of(&self.names.tenants, name),
             _ => None,
         };
-        let key = incoming.item.as_ref().map(|key| key.as_bytes());
+        let key = incoming.key.as_ref().map(|key| key.as_bytes());
         Event::Arrived(Request {
             id,
-            class: index_of(&self.names.classes, &incoming.band),
+            class: index_of(&self.names.classes, &incoming.class),
             tenant,
             key: key.map(key_hash),
             group: key.map_or(0, |key| self.stack.group(key)),
             write: incoming.state_bits & WRITE_BIT != 0,
-            deadline: micros(incoming.due),
+            deadline: micros(incoming.deadline),
         })
     }
 
@@ -123,21 +123,25 @@
 
     /// Appends the message for an action of the balancer `who`.
     pub fn write_action(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
-        let ticket = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
+        let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let output = match &action {
             Action::Send { id, server, give_up_at, .. } => Output::Route {
-                who,
-                ticket: ticket(id),
-                node: *server,
-                not_past: millis((*give_up_at).max(now)),
+                instance: who,
+                request: name(id),
+                server: *server,
+                give_up_at: millis((*give_up_at).max(now)),
             },
-            Action::Cancel { id, attempt } => Output::Retract { who, ticket: ticket(id), attempt: *attempt },
+            Action::Cancel { id, attempt } => {
+                Output::Retract { instance: who, request: name(id), attempt: *attempt }
+            }
             Action::Reject { id, retry_after } => {
-                Output::TurnAway { who, ticket: ticket(id), come_back: millis(*retry_after) }
+                Output::TurnAway { instance: who, request: name(id), retry_after: millis(*retry_after) }
+            }
+            Action::Fail { id } => Output::FinishError { instance: who, request: name(id) },
+            Action::Timer { after, token } => {
+                Output::Schedule { instance: who, delay: millis(*after), token: *token }
             }
-            Action::Fail { id } => Output::FinishError { who, ticket: ticket(id) },
-            Action::Timer { after, token } => Output::Schedule { who, from_now: millis(*after), ctx: *token },
-            Action::Watch => Output::StreamChanges { who, want: true },
+            Action::Watch => Output::StreamChanges { instance: who, enabled: true },
         };
         output.append_to(reply);
         match action {
