--- a/cli/src/check/explained_request.rs
+++ b/cli/src/check/explained_request.rs
@@ -11,7 +11,7 @@
     class: u32,
     tenant: Option<u32>,
     key: String,
-    patience: Option<Micros>,
+    deadline: Option<Micros>,
     write: Option<bool>,
 }
 
@@ -28,13 +28,13 @@
                 "tenant" => request.tenant = Some(index_of("tenant", value, &context.tenants)?),
                 "key" => request.key = value.to_owned(),
                 "d" => {
-                    let patience = parse_duration(value);
-                    request.patience =
-                        Some(patience.ok_or_else(|| format!("--explain: '{value}' is no time"))?);
+                    let deadline = parse_duration(value);
+                    request.deadline =
+                        Some(deadline.ok_or_else(|| format!("--explain: '{value}' is no time"))?);
                 }
                 "access" => request.write = Some(value == "write"),
-                other => {
-                    return Err(format!("--explain: '{other}' is none of class, tenant, key, d, access"))
+                unknown => {
+                    return Err(format!("--explain: '{unknown}' is none of class, tenant, key, d, access"))
                 }
             }
         }
@@ -44,18 +44,18 @@
 
     /// Prints which route takes the request, why not those before it, and the timetable of its worst case.
     pub fn print(&self, policy: &Policy, context: &PolicyContext) {
-        let deadline = context.deadlines[self.class as usize];
-        let patience = self.patience.unwrap_or(deadline).min(deadline);
-        let chosen = explain::select_route(policy, &self.request(policy, context));
-        println!("route '{}' takes it", chosen.route.name);
-        for skipped in &chosen.skipped {
+        let class_deadline = context.deadlines[self.class as usize];
+        let deadline = self.deadline.unwrap_or(class_deadline).min(class_deadline);
+        let selection = explain::select_route(policy, &self.request(policy, context));
+        println!("route '{}' takes it", selection.route.name);
+        for skipped in &selection.skipped {
             println!("  passed over {skipped}");
         }
-        println!("worst case, for a client that waits {}:", format_duration(patience));
-        for step in explain::worst_case_timeline(chosen.route, context, self.class, patience) {
+        println!("worst case, for a client that waits {}:", format_duration(deadline));
+        for step in explain::worst_case_timeline(selection.route, context, self.class, deadline) {
             println!("  {:>8}  {}", format_duration(step.at), step.event);
         }
-        for line in explain::describe_limits(chosen.route, policy) {
+        for line in explain::describe_limits(selection.route, policy) {
             println!("{line}");
         }
     }
--- a/cli/src/check/mod.rs
+++ b/cli/src/check/mod.rs
@@ -51,7 +51,7 @@
     let mut text = bounded_file::read_text(path, bounded_file::MAX_AUTHORED_BYTES)
         .map_err(|e| format!("{name}: cannot read: {e}"))?;
     if !set.is_empty() {
-        text = scenario::changed(&text, set.iter().copied()).map_err(|why| format!("{name}: {why}"))?;
+        text = scenario::changed(&text, set.iter().copied()).map_err(|reason| format!("{name}: {reason}"))?;
         name = format!("{name} with {}", set.join(" "));
     }
     policy_file::parse(&name, &text, context).map_err(|errors| {
@@ -61,7 +61,7 @@
 }
 
 /// The settings of a deployment: a proxy's configuration, or its `settings` alone.
-fn read_context(path: &Path) -> Result<PolicyContext, String> {
+fn read_policy_context(path: &Path) -> Result<PolicyContext, String> {
     let name = path.display();
     let text = bounded_file::read_bytes(path, bounded_file::MAX_CONFIG_BYTES)
         .map_err(|e| format!("{name}: cannot read: {e}"))?;
@@ -82,7 +82,7 @@
 }
 
 fn check_policy(file: &Path, settings: &Path, request: Option<&str>) -> Result<(), String> {
-    let context = read_context(settings)?;
+    let context = read_policy_context(settings)?;
     let policy = read_policy(file, &[], &context)?;
     let (routes, budgets) = (policy.routes.len(), policy.retry_budgets.len());
     println!("{}: good: {routes} routes, the default included, {budgets} budgets", file.display());
--- a/cli/src/coord.rs
+++ b/cli/src/coord.rs
@@ -3,7 +3,7 @@
 use crate::{CommandResult, Exit};
 use clap::{Args, Subcommand};
 use notchdoor_coordination::config;
-use notchdoor_coordination::lease::Command as Lock;
+use notchdoor_coordination::lease::Command as LeaseCommand;
 use notchdoor_coordination::membership::MemberAddr;
 use notchdoor_coordination::protocol::{Answer, LeaseInfo, Request, Status};
 use notchdoor_coordination::session::Endpoint;
@@ -38,7 +38,7 @@
     #[command(
         after_help = "Example:\n  notchdoor coord status --at 127.0.0.1:7201,127.0.0.1:7202,127.0.0.1:7203"
     )]
-    Status(Group),
+    Status(GroupOptions),
     /// Add a member: it learns first and votes once it has caught up. Start it when this says so.
     #[command(after_help = "Example:
   notchdoor coord add --id 4 --peer 127.0.0.1:7104 --client 127.0.0.1:7204 --at 127.0.0.1:7201 --wait")]
@@ -56,7 +56,7 @@
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
     /// Remove a member for good; its id is not used again. Stop its process after that.
     #[command(after_help = "Example:\n  notchdoor coord remove --id 2 --at 127.0.0.1:7201,127.0.0.1:7203")]
@@ -65,7 +65,7 @@
         #[arg(long)]
         id: u64,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
 }
 
@@ -73,13 +73,13 @@
 pub enum Lease {
     /// All leases in force, as a majority of the group confirms them.
     #[command(after_help = "Example:\n  notchdoor lease list --at 127.0.0.1:7201,127.0.0.1:7202")]
-    List(Group),
+    List(GroupOptions),
     /// The lease of one task; exits with 1 if nobody holds it.
     Show {
         /// The task.
         task: String,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
     /// Have a task's lease end: its holder stops at its next renewal and others may take it.
     #[command(
@@ -90,65 +90,65 @@
         /// The task.
         task: String,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
 }
 
 #[derive(Args)]
-pub struct Group {
+pub struct GroupOptions {
     /// Where members are asked, as HOST:PORT; several with commas.
-    #[arg(long, value_delimiter = ',', value_name = "ADDRESS")]
-    at: Vec<SocketAddr>,
+    #[arg(long = "at", value_delimiter = ',', value_name = "ADDRESS")]
+    addresses: Vec<SocketAddr>,
     /// A file that names the members, as `serve --coord` takes it. NOTCHDOOR_COORD where neither is given.
-    #[arg(long, value_name = "FILE", conflicts_with = "at")]
+    #[arg(long, value_name = "FILE", conflicts_with = "addresses")]
     coord: Option<String>,
     /// How long to try, in seconds.
-    #[arg(long, default_value_t = 10.0, value_name = "SECONDS")]
-    within: f64,
+    #[arg(long = "within", default_value_t = 10.0, value_name = "SECONDS")]
+    timeout_s: f64,
     /// Print JSON instead of tables.
     #[arg(long)]
     pub json: bool,
 }
 
-impl Group {
+impl GroupOptions {
     /// What versions may forbid, where a file says so.
-    pub fn guard(&self) -> Result<Option<BlockRules>, String> {
-        match self.file() {
-            Some(file) if self.at.is_empty() => Ok(tasks(&file).map_err(|e| e.to_string())?.guard),
+    pub fn block_guard(&self) -> Result<Option<BlockRules>, String> {
+        match self.coord_file() {
+            Some(file) if self.addresses.is_empty() => Ok(tasks(&file).map_err(|e| e.to_string())?.guard),
             _ => Ok(None),
         }
     }
 
-    fn file(&self) -> Option<String> {
+    fn coord_file(&self) -> Option<String> {
         self.coord.clone().or_else(|| std::env::var("NOTCHDOOR_COORD").ok())
     }
 
-    pub fn doors(&self) -> Result<Vec<Endpoint>, String> {
-        if !self.at.is_empty() {
+    pub fn member_endpoints(&self) -> Result<Vec<Endpoint>, String> {
+        if !self.addresses.is_empty() {
             // Their ids are not known: whoever leads is then found by the group's own book.
-            return Ok(self.at.iter().zip(0..).map(|(&at, n)| (u64::MAX - n, at)).collect());
+            return Ok(self.addresses.iter().zip(0..).map(|(&at, n)| (u64::MAX - n, at)).collect());
         }
-        let file = self.file().ok_or("which group: --at ADDRESS, --coord FILE or NOTCHDOOR_COORD")?;
+        let file = self.coord_file().ok_or("which group: --at ADDRESS, --coord FILE or NOTCHDOOR_COORD")?;
         Ok(tasks(&file).map_err(|e| e.to_string())?.members)
     }
 
-    pub fn limit(&self) -> Result<Duration, String> {
-        let limit = Duration::try_from_secs_f64(self.within).map_err(|e| format!("--within: {e}"))?;
-        Ok(limit.min(Duration::from_secs(600)))
+    pub fn timeout(&self) -> Result<Duration, String> {
+        let timeout = Duration::try_from_secs_f64(self.timeout_s).map_err(|e| format!("--within: {e}"))?;
+        Ok(timeout.min(Duration::from_secs(600)))
     }
 
-    pub fn ask(&self, request: Request) -> Result<Answer, String> {
-        async_io::block_on(ask::leader(&self.doors()?, &request, self.limit()?))
+    pub fn send_request(&self, request: Request) -> Result<Answer, String> {
+        async_io::block_on(ask::leader(&self.member_endpoints()?, &request, self.timeout()?))
     }
 
-    fn leases(&self, task: Option<String>) -> Result<Vec<LeaseInfo>, String> {
-        match self.ask(Request::List { task })? {
-            Answer::Listing(told) => Ok(told),
-            other => Err(format!("an answer of another kind: {other:?}")),
+    fn list_leases(&self, task: Option<String>) -> Result<Vec<LeaseInfo>, String> {
+        match self.send_request(Request::List { task })? {
+            Answer::Listing(leases) => Ok(leases),
+            unexpected => Err(format!("an answer of another kind: {unexpected:?}")),
         }
     }
 
-    fn print(&self, leases: &[LeaseInfo]) {
+    fn print_leases(&self, leases: &[LeaseInfo]) {
         if self.json {
             return println!("{}", serde_json::json!(leases));
         }
@@ -161,7 +161,7 @@
     }
 }
 
-fn member(path: &Path) -> Result<config::GroupConfig, String> {
+fn read_member_config(path: &Path) -> Result<config::GroupConfig, String> {
     let name = path.display().to_string();
     let text = bounded_file::read_text(path, bounded_file::MAX_AUTHORED_BYTES)
         .map_err(|e| format!("{name}: cannot read: {e}"))?;
@@ -171,35 +171,35 @@
 pub fn run(command: &Command) -> CommandResult {
     match command {
         Command::Run { config, log_format, log_level } => {
-            node::run(member(config)?, *log_format, log_level.as_deref()).map(|()| Exit::Success)
+            node::run(read_member_config(config)?, *log_format, log_level.as_deref()).map(|()| Exit::Success)
         }
         Command::Status(group) => status(group),
         Command::Add { id, peer, client, wait, group } => {
             let add = Request::Add(MemberAddr { id: *id, peer: *peer, client: *client });
-            added(group, *id, &add, *wait)
+            add_member(group, *id, &add, *wait)
         }
         Command::Remove { id, group } => {
-            changed(group.ask(Request::Remove { id: *id })?).map(|()| Exit::Success)
+            expect_changed(group.send_request(Request::Remove { id: *id })?).map(|()| Exit::Success)
         }
     }
 }
 
-fn changed(answer: Answer) -> Result<(), String> {
+fn expect_changed(answer: Answer) -> Result<(), String> {
     match answer {
         Answer::Changed => Ok(()),
-        Answer::Refused(why) => Err(why),
-        other => Err(format!("an answer of another kind: {other:?}")),
+        Answer::Refused(reason) => Err(reason),
+        unexpected => Err(format!("an answer of another kind: {unexpected:?}")),
     }
 }
 
 /// Adds a member; waiting for its vote is asking again until the leader says that it votes.
-fn added(group: &Group, id: u64, add: &Request, wait: bool) -> CommandResult {
-    changed(group.ask(add.clone())?)?;
+fn add_member(group: &GroupOptions, id: u64, add: &Request, wait: bool) -> CommandResult {
+    expect_changed(group.send_request(add.clone())?)?;
     if !wait {
         println!("member {id} learns; start it now");
         return Ok(Exit::Success);
     }
-    let until = Instant::now() + group.limit()?;
+    let deadline = Instant::now() + group.timeout()?;
     loop {
         let statuses = statuses(group)?;
         let votes = |s: &Status| s.book.members().get(&id).is_some_and(|m| m.voter);
@@ -207,33 +207,33 @@
             println!("member {id} votes");
             return Ok(Exit::Success);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(format!("member {id} does not vote yet: is it started?"));
         }
         std::thread::sleep(Duration::from_millis(200));
     }
 }
 
-type Said = (SocketAddr, Result<Status, String>);
+type MemberStatus = (SocketAddr, Result<Status, String>);
 
-fn statuses(group: &Group) -> Result<Vec<Said>, String> {
-    let one = |at: SocketAddr| match async_io::block_on(ask::once(at, &Request::Status)) {
+fn statuses(group: &GroupOptions) -> Result<Vec<MemberStatus>, String> {
+    let query = |at: SocketAddr| match async_io::block_on(ask::once(at, &Request::Status)) {
         Ok(Answer::Status(status)) => Ok(*status),
         Ok(Answer::Later { .. }) => Err("waits for the other members".to_owned()),
-        Ok(other) => Err(format!("an answer of another kind: {other:?}")),
+        Ok(unexpected) => Err(format!("an answer of another kind: {unexpected:?}")),
         Err(error) => Err(error.to_string()),
     };
-    Ok(group.doors()?.into_iter().map(|(_, at)| (at, one(at))).collect())
+    Ok(group.member_endpoints()?.into_iter().map(|(_, at)| (at, query(at))).collect())
 }
 
-fn status(group: &Group) -> CommandResult {
+fn status(group: &GroupOptions) -> CommandResult {
     let statuses = statuses(group)?;
     if group.json {
-        let told = |(at, s): &Said| match s {
+        let to_json = |(at, s): &MemberStatus| match s {
             Ok(status) => serde_json::json!({"at": at, "status": status}),
-            Err(why) => serde_json::json!({"at": at, "error": why}),
+            Err(reason) => serde_json::json!({"at": at, "error": reason}),
         };
-        println!("{}", serde_json::Value::from_iter(statuses.iter().map(told)));
+        println!("{}", serde_json::Value::from_iter(statuses.iter().map(to_json)));
     } else {
         println!(
             "{:22} {:>4} {:10} {:>6} {:>6} {:>10} {:>7}",
@@ -251,44 +251,44 @@
                     s.applied,
                     s.grants
                 ),
-                Err(why) => println!("{:22} {why}", at.to_string()),
+                Err(reason) => println!("{:22} {reason}", at.to_string()),
             }
         }
     }
     // A group that nobody leads grants nothing.
-    let led = statuses.iter().any(|(_, s)| s.as_ref().is_ok_and(|s| s.role == "leader"));
-    Ok(if led { Exit::Success } else { Exit::Failure })
+    let has_leader = statuses.iter().any(|(_, s)| s.as_ref().is_ok_and(|s| s.role == "leader"));
+    Ok(if has_leader { Exit::Success } else { Exit::Failure })
 }
 
 pub fn lease(command: &Lease) -> CommandResult {
     match command {
         Lease::List(group) => {
-            group.print(&group.leases(None)?);
+            group.print_leases(&group.list_leases(None)?);
             Ok(Exit::Success)
         }
         Lease::Show { task, group } => {
-            let leases = group.leases(Some(task.clone()))?;
-            group.print(&leases);
+            let leases = group.list_leases(Some(task.clone()))?;
+            group.print_leases(&leases);
             Ok(if leases.is_empty() { Exit::Failure } else { Exit::Success })
         }
         Lease::Release { task, group } => {
-            let Some(held) = group.leases(Some(task.clone()))?.pop() else {
+            let Some(lease) = group.list_leases(Some(task.clone()))?.pop() else {
                 println!("nobody holds {task}");
                 return Ok(Exit::Failure);
             };
-            let token = held.grant.token;
-            match group.ask(Request::Lease(Lock::Revoke { task: task.clone(), token }))? {
+            let token = lease.grant.token;
+            match group.send_request(Request::Lease(LeaseCommand::Revoke { task: task.clone(), token }))? {
                 Answer::Done { .. } => {}
-                other => return Err(format!("an answer of another kind: {other:?}")),
+                unexpected => return Err(format!("an answer of another kind: {unexpected:?}")),
             }
-            let until = Instant::now() + Duration::from_millis(held.grant.ttl_ms) + group.limit()?;
-            while group.leases(Some(task.clone()))?.iter().any(|t| t.grant.token == token) {
-                if Instant::now() >= until {
+            let deadline = Instant::now() + Duration::from_millis(lease.grant.ttl_ms) + group.timeout()?;
+            while group.list_leases(Some(task.clone()))?.iter().any(|l| l.grant.token == token) {
+                if Instant::now() >= deadline {
                     return Err(format!("{task}: token {token} is still in force"));
                 }
                 std::thread::sleep(Duration::from_millis(50));
             }
-            println!("{task}: token {token} of {} has ended", held.grant.holder);
+            println!("{task}: token {token} of {} has ended", lease.grant.holder);
             Ok(Exit::Success)
         }
     }
--- a/cli/src/group.rs
+++ b/cli/src/group.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 #[derive(Args)]
-pub struct Group {
+pub struct GroupOptions {
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
     /// A folder for the figures as JSON and a chart.
     #[arg(long, global = true, value_name = "DIR")]
     out: Option<PathBuf>,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Measurement {
     /// How soon another holder acts, after the holder is killed, is cut off, or dies with the group's leader.
     Takeover {
         /// Losses of each kind.
@@ -84,66 +84,68 @@
 }
 
 /// The most processes that one machine is asked for, and the most proxies in virtual time.
-const MOST_PROXIES: usize = 400;
-const MOST_VIRTUAL: usize = 2_000;
+const MAX_PROXIES: usize = 400;
+const MAX_VIRTUAL_PROXIES: usize = 2_000;
 
 /// Makes the plan of each run: each has a folder of its own.
-struct Plans<'a> {
-    group: &'a Group,
+struct PlanFactory<'a> {
+    options: &'a GroupOptions,
     program: PathBuf,
-    made: Cell<u64>,
+    created: Cell<u64>,
 }
 
-impl Plans<'_> {
+impl PlanFactory<'_> {
     fn with_proxies(&self, proxies: usize) -> Plan {
-        self.made.set(self.made.get() + 1);
-        let folder = format!("notchdoor-lab-{}-{}", std::process::id(), self.made.get());
+        self.created.set(self.created.get() + 1);
+        let folder = format!("notchdoor-lab-{}-{}", std::process::id(), self.created.get());
         let names = ["warm", "probe", "registry", "sweep"];
         let name = |n: usize| names.get(n).map_or_else(|| format!("task-{n}"), |n| (*n).to_owned());
         Plan {
             proxies,
-            ttl_ms: self.group.ttl_ms,
-            tick_ms: self.group.tick_ms,
+            ttl_ms: self.options.ttl_ms,
+            tick_ms: self.options.tick_ms,
             every_ms: 50,
-            tasks: (0..self.group.tasks.clamp(1, 64)).map(name).collect(),
+            tasks: (0..self.options.tasks.clamp(1, 64)).map(name).collect(),
             ..Plan::new(&self.program, std::env::temp_dir().join(folder))
         }
     }
 }
 
-fn failed(error: std::io::Error) -> String {
+fn to_message(error: std::io::Error) -> String {
     format!("lab group: {error}")
 }
 
-pub fn run(group: &Group) -> CommandResult {
+pub fn run(options: &GroupOptions) -> CommandResult {
     let program = std::env::current_exe().map_err(|e| format!("this program's file: {e}"))?;
-    let plans = Plans { group, program, made: Cell::new(0) };
-    match &group.what {
-        What::Takeover { plays } => takeover(group, &plans, *plays)?,
-        What::Load { proxies, seconds, virtual_time } => {
-            load(group, &plans, proxies, *seconds, *virtual_time)?;
+    let plans = PlanFactory { options, program, created: Cell::new(0) };
+    match &options.measurement {
+        Measurement::Takeover { plays } => takeover(options, &plans, *plays)?,
+        Measurement::Load { proxies, seconds, virtual_time } => {
+            load(options, &plans, proxies, *seconds, *virtual_time)?;
         }
-        What::Versions { proxies, plays, within_ms, virtual_time } => {
-            versions(group, &plans, proxies, *plays, *within_ms, *virtual_time)?;
+        Measurement::Versions { proxies, plays, within_ms, virtual_time } => {
+            versions(options, &plans, proxies, *plays, *within_ms, *virtual_time)?;
         }
-        What::Latency { rounds } => latency(group, &plans, *rounds)?,
-        What::Soak { minutes, proxies } => soak(group, &plans, *minutes, *proxies)?,
+        Measurement::Latency { rounds } => latency(options, &plans, *rounds)?,
+        Measurement::Soak { minutes, proxies } => soak(options, &plans, *minutes, *proxies)?,
     }
     Ok(Exit::Success)
 }
 
 /// How soon another holder acts, for each kind of loss.
-fn takeover(group: &Group, plans: &Plans, plays: usize) -> Result<(), String> {
+fn takeover(options: &GroupOptions, plans: &PlanFactory, plays: usize) -> Result<(), String> {
     let mut all = Vec::new();
     for loss in [Loss::Killed, Loss::CutOff, Loss::WithLeader] {
-        let (of, checked) = measure::takeovers(plans.with_proxies(3), loss, plays).map_err(failed)?;
-        row(&format!("{loss:?}"), &of.took);
+        let (takeovers, checked) =
+            measure::takeovers(plans.with_proxies(3), loss, plays).map_err(to_message)?;
+        print_spread(&format!("{loss:?}"), &takeovers.took);
         println!("  {checked:?}");
-        all.push(of);
+        all.push(takeovers);
     }
     // Each play beside its rank: the curve is the distribution.
-    let lines: Vec<Line> = all.iter().map(|of| (format!("{:?}", of.loss), ranked(&of.plays))).collect();
-    keep(group, "takeover", &all, |path| {
+    let lines: Vec<Line> =
+        all.iter().map(|of| (format!("{:?}", of.loss), percentile_points(&of.plays))).collect();
+    write_results(options, "takeover", &all, |path| {
         plot(path, "Until another holder acts", "per cent of the plays", "milliseconds", &lines)
     })?;
     Ok(())
@@ -151,29 +153,29 @@
 
 /// What the group does a second, for each number of proxies.
 fn load(
-    group: &Group,
-    plans: &Plans,
+    options: &GroupOptions,
+    plans: &PlanFactory,
     proxies: &[usize],
     seconds: f64,
     virtual_time: bool,
 ) -> Result<(), String> {
-    let over = Duration::try_from_secs_f64(seconds).map_err(|e| format!("--seconds: {e}"))?;
-    let most = if virtual_time { MOST_VIRTUAL } else { MOST_PROXIES };
+    let duration = Duration::try_from_secs_f64(seconds).map_err(|e| format!("--seconds: {e}"))?;
+    let max = if virtual_time { MAX_VIRTUAL_PROXIES } else { MAX_PROXIES };
     let mut all = Vec::new();
     for &count in proxies {
-        if count > most {
-            return Err(format!("--proxies: {most} at the most"));
+        if count > max {
+            return Err(format!("--proxies: {max} at the most"));
         }
         let load = if virtual_time {
-            measure::virtual_load(&plans.with_proxies(count), over)
+            measure::virtual_load(&plans.with_proxies(count), duration)
         } else {
-            measure::load(plans.with_proxies(count), over).map_err(failed)?
+            measure::load(plans.with_proxies(count), duration).map_err(to_message)?
         };
         println!("{}", serde_json::json!(load));
         all.push(load);
     }
-    let line = |name: &str, of: fn(&measure::Load) -> f64| {
-        (name.to_owned(), all.iter().map(|l| (l.proxies as f64, of(l))).collect())
+    let line = |name: &str, value: fn(&measure::Load) -> f64| {
+        (name.to_owned(), all.iter().map(|l| (l.proxies as f64, value(l))).collect())
     };
     let lines = [
         line("requests", |l| l.asks),
@@ -181,14 +183,16 @@
         line("fsyncs", |l| l.syncs),
         line("entries", |l| l.entries),
     ];
-    keep(group, "load", &all, |path| plot(path, "The group's load", "proxies", "a second", &lines))?;
+    write_results(options, "load", &all, |path| {
+        plot(path, "The group's load", "proxies", "a second", &lines)
+    })?;
     Ok(())
 }
 
 /// How long a version takes until every proxy acts on it.
 fn versions(
-    group: &Group,
-    plans: &Plans,
+    options: &GroupOptions,
+    plans: &PlanFactory,
     proxies: &[usize],
     plays: u64,
     within_ms: u64,
@@ -196,76 +200,79 @@
 ) -> Result<(), String> {
     let mut all = Vec::new();
     for &count in proxies {
-        let most = if virtual_time { MOST_VIRTUAL } else { MOST_PROXIES };
-        if count > most {
-            return Err(format!("--proxies: {most} at the most"));
+        let max = if virtual_time { MAX_VIRTUAL_PROXIES } else { MAX_PROXIES };
+        if count > max {
+            return Err(format!("--proxies: {max} at the most"));
         }
         let switches = if virtual_time {
             measure::virtual_switches(count, within_ms, plays)
         } else {
             measure::switches(Plan { within_ms: Some(within_ms), ..plans.with_proxies(count) }, plays)
         };
-        let switches = switches.map_err(failed)?;
-        row(&format!("{count} proxies"), &switches.all);
+        let switches = switches.map_err(to_message)?;
+        print_spread(&format!("{count} proxies"), &switches.all);
         println!("  at most {} ms apart", switches.apart_ms);
         all.push(switches);
     }
     if let (true, Some(&count)) = (virtual_time, proxies.iter().max()) {
-        change_under_faults(group, count, within_ms)?;
+        change_under_faults(options, count, within_ms)?;
     }
-    let points = |of: fn(&Spread) -> f64| all.iter().map(|s| (s.proxies as f64, of(&s.all))).collect();
+    let points = |value: fn(&Spread) -> f64| all.iter().map(|s| (s.proxies as f64, value(&s.all))).collect();
     let lines = [("median".to_owned(), points(|s| s.p50_ms)), ("p99".to_owned(), points(|s| s.p99_ms))];
-    keep(group, "versions", &all, |path| {
+    write_results(options, "versions", &all, |path| {
         plot(path, "Until every proxy acts on a version", "proxies", "milliseconds", &lines)
     })?;
     Ok(())
 }
 
 /// How long the leader takes to answer each kind of request.
-fn latency(group: &Group, plans: &Plans, rounds: u64) -> Result<(), String> {
-    let latency = measure::latency(plans.with_proxies(0), rounds).map_err(failed)?;
-    for (name, of) in [
+fn latency(options: &GroupOptions, plans: &PlanFactory, rounds: u64) -> Result<(), String> {
+    let latency = measure::latency(plans.with_proxies(0), rounds).map_err(to_message)?;
+    for (name, spread) in [
         ("acquire", &latency.acquire),
         ("renew", &latency.renew),
         ("list", &latency.list),
         ("release", &latency.release),
     ] {
-        row(name, of);
+        print_spread(name, spread);
     }
-    keep(group, "latency", &latency, |_| Ok(()))?;
+    write_results(options, "latency", &latency, |_| Ok(()))?;
     Ok(())
 }
 
 /// What the members hold over a long run of renewals.
-fn soak(group: &Group, plans: &Plans, minutes: f64, proxies: usize) -> Result<(), String> {
-    let over = Duration::try_from_secs_f64(minutes * 60.0).map_err(|e| format!("--minutes: {e}"))?;
-    let every = (over / 120).max(Duration::from_secs(1));
+fn soak(options: &GroupOptions, plans: &PlanFactory, minutes: f64, proxies: usize) -> Result<(), String> {
+    let duration = Duration::try_from_secs_f64(minutes * 60.0).map_err(|e| format!("--minutes: {e}"))?;
+    let interval = (duration / 120).max(Duration::from_secs(1));
     let mut sizes: Vec<Size> = Vec::new();
-    let each = |size: Size| {
+    let record = |size: Size| {
         println!("{}", serde_json::json!(size));
         sizes.push(size);
     };
-    let checked = measure::soak(plans.with_proxies(proxies), over, every, each).map_err(failed)?;
+    let checked =
+        measure::soak(plans.with_proxies(proxies), duration, interval, record).map_err(to_message)?;
     println!("{checked:?}");
-    let line = |member: u64, what: &str, of: fn(&Size) -> u64| {
+    let line = |member: u64, what: &str, value: fn(&Size) -> u64| {
         let of_member = sizes.iter().filter(|s| s.member == member);
-        let points = of_member.map(|s| (s.at_s / 60.0, of(s) as f64 / f64::from(1 << 20))).collect();
+        let points = of_member.map(|s| (s.at_s / 60.0, value(s) as f64 / f64::from(1 << 20))).collect();
         (format!("m{member} {what}"), points)
     };
     let members = [1, 2, 3].into_iter();
     let lines: Vec<Line> =
         members.flat_map(|m| [line(m, "resident", |s| s.resident), line(m, "disk", |s| s.disk)]).collect();
-    keep(group, "soak", &sizes, |path| plot(path, "A long run of renewals", "minutes", "MiB", &lines))?;
+    write_results(options, "soak", &sizes, |path| {
+        plot(path, "A long run of renewals", "minutes", "MiB", &lines)
+    })?;
     Ok(())
 }
 
 /// A change while a tenth of the proxies is cut off for ten seconds and the leader dies on the way: who acts on
 /// what over time, drawn, and what the safe mode cost.
-fn change_under_faults(group: &Group, proxies: usize, within_ms: u64) -> Result<(), String> {
+fn change_under_faults(options: &GroupOptions, proxies: usize, within_ms: u64) -> Result<(), String> {
     let cut = |n: usize| Fault { at_ms: 4_000, for_ms: 10_000, kind: Kind::Cut, who: Who::Client(n * 10) };
     let mut faults: Vec<Fault> = (0..(proxies / 10).min(60)).map(cut).collect();
     faults.push(Fault { at_ms: 7_000, for_ms: 3_000, kind: Kind::Kill, who: Who::Leader });
-    let cut = faults.len() - 1;
+    let cut_off = faults.len() - 1;
     let schedule =
         Schedule { clients: proxies, within_ms, applies_ms: vec![6_000], faults, ..Schedule::quiet(1) };
     let played = world::play(&schedule);
@@ -273,38 +280,39 @@
         return Err(breach.what.clone());
     }
     let moments = world::watch(&schedule, 20_000, 50);
-    let from = moments.iter().filter(|m| (4_000..14_000).contains(&m.at_ms));
-    let safe: usize = from.clone().map(|m| m.safe).sum();
-    let all: usize = from.map(|m| m.safe + m.on.values().sum::<usize>()).sum();
+    let during_cut = moments.iter().filter(|m| (4_000..14_000).contains(&m.at_ms));
+    let safe: usize = during_cut.clone().map(|m| m.safe).sum();
+    let total: usize = during_cut.map(|m| m.safe + m.on.values().sum::<usize>()).sum();
     println!(
-        "{proxies} proxies, {cut} cut off for 10 s, the leader killed: at most {} ms apart; {:.1} % of the proxies' time \
+        "{proxies} proxies, {cut_off} cut off for 10 s, the leader killed: at most {} ms apart; {:.1} % of the proxies' time \
          in those 10 s in safe mode",
         played.disagreed_ms,
-        100.0 * safe as f64 / all.max(1) as f64
+        100.0 * safe as f64 / total.max(1) as f64
     );
-    let line = |name: &str, of: &dyn Fn(&world::Moment) -> usize| -> Line {
-        (name.to_owned(), moments.iter().map(|m| (m.at_ms as f64 / 1e3, of(m) as f64)).collect())
+    let line = |name: &str, value: &dyn Fn(&world::Moment) -> usize| -> Line {
+        (name.to_owned(), moments.iter().map(|m| (m.at_ms as f64 / 1e3, value(m) as f64)).collect())
     };
-    let on = |version: u64| move |m: &world::Moment| m.on.get(&version).copied().unwrap_or(0);
-    let lines = [line("version 0", &on(0)), line("version 1", &on(1)), line("safe mode", &|m| m.safe)];
-    keep(group, "change", &(played.disagreed_ms, safe, all), |path| {
+    let acting_on = |version: u64| move |m: &world::Moment| m.on.get(&version).copied().unwrap_or(0);
+    let lines =
+        [line("version 0", &acting_on(0)), line("version 1", &acting_on(1)), line("safe mode", &|m| m.safe)];
+    write_results(options, "change", &(played.disagreed_ms, safe, total), |path| {
         plot(path, "A change under faults: who acts on what", "seconds", "proxies", &lines)
     })
 }
 
 /// Plays schedules of faults on processes of this program.
-pub fn faults(schedules: &[Schedule], at_once: usize) -> CommandResult {
+pub fn run_fault_schedules(schedules: &[Schedule], parallel_fleets: usize) -> CommandResult {
     let program = std::env::current_exe().map_err(|e| format!("this program's file: {e}"))?;
     let plan = |n: u64| {
         let name = format!("notchdoor-faults-{}-{n}", std::process::id());
         Plan::new(&program, std::env::temp_dir().join(name))
     };
-    let told = |n| {
+    let progress = |n| {
         if n % 10 == 0 {
             eprintln!("{n} of {} played", schedules.len());
         }
     };
-    let played = schedule::plays(plan, schedules, at_once, told);
+    let played = schedule::plays(plan, schedules, parallel_fleets, progress);
     println!(
         "{} schedules on processes: {} handovers, {} actions let in, {} refused by the fence; {} break a property",
         played.plays,
@@ -319,14 +327,14 @@
     Ok(if played.found.is_empty() { Exit::Success } else { Exit::Failure })
 }
 
-fn row(name: &str, of: &Spread) {
+fn print_spread(name: &str, spread: &Spread) {
     println!(
         "{name:12} n {:>5}  least {:>8.2}  median {:>8.2}  p99 {:>8.2}  most {:>8.2} ms",
-        of.n, of.min_ms, of.p50_ms, of.p99_ms, of.max_ms
+        spread.n, spread.min_ms, spread.p50_ms, spread.p99_ms, spread.max_ms
     );
 }
 
-fn ranked(plays: &[u64]) -> Vec<(f64, f64)> {
+fn percentile_points(plays: &[u64]) -> Vec<(f64, f64)> {
     let mut sorted = plays.to_vec();
     sorted.sort_unstable();
     let rank = |n: usize| 100.0 * (n as f64 + 1.0) / plays.len().max(1) as f64;
@@ -334,16 +342,16 @@
 }
 
 /// Writes the figures and their chart, where a folder is given.
-fn keep(
-    group: &Group,
+fn write_results(
+    options: &GroupOptions,
     name: &str,
     figures: &impl Serialize,
     chart: impl FnOnce(&Path) -> Result<(), String>,
 ) -> Result<(), String> {
-    let Some(out) = &group.out else { return Ok(()) };
-    let told = |e: std::io::Error| format!("{}: {e}", out.display());
-    std::fs::create_dir_all(out).map_err(told)?;
+    let Some(out) = &options.out else { return Ok(()) };
+    let to_message = |e: std::io::Error| format!("{}: {e}", out.display());
+    std::fs::create_dir_all(out).map_err(to_message)?;
     let json = serde_json::to_string(figures).map_err(|e| e.to_string())?;
-    std::fs::write(out.join(format!("{name}.json")), json).map_err(told)?;
+    std::fs::write(out.join(format!("{name}.json")), json).map_err(to_message)?;
     chart(&out.join(format!("{name}.svg")))
 }
--- a/cli/src/lab/compare.rs
+++ b/cli/src/lab/compare.rs
@@ -15,17 +15,17 @@
     b: PathBuf,
     /// The policy of A that is compared.
     #[arg(long = "a", value_name = "POLICY", default_value = "notchdoor")]
-    of_a: String,
+    policy_a: String,
     /// The policy of B that is compared.
     #[arg(long = "b", value_name = "POLICY", default_value = "notchdoor")]
-    of_b: String,
+    policy_b: String,
     /// Print JSON instead of a table.
     #[arg(long)]
     json: bool,
 }
 
 pub fn run(options: &CompareOptions) -> CommandResult {
-    let of = |path: &Path, policy: &str| -> Result<Vec<Day>, String> {
+    let load = |path: &Path, policy: &str| -> Result<Vec<Day>, String> {
         let days = experiment::read(path)?;
         let days: Vec<Day> = days.into_iter().filter(|d| d.policy == policy).collect();
         if days.is_empty() {
@@ -33,20 +33,20 @@
         }
         Ok(days)
     };
-    let (a, b) = (of(&options.a, &options.of_a)?, of(&options.b, &options.of_b)?);
+    let (a, b) = (load(&options.a, &options.policy_a)?, load(&options.b, &options.policy_b)?);
     let lines = compare::compare(&a, &b)?;
-    let lost = compare::lost(&a, &b, &lines);
+    let worse = compare::lost(&a, &b, &lines);
     if options.json {
-        print_json(&serde_json::json!({"lines": lines, "lost": lost}));
+        print_json(&serde_json::json!({"lines": lines, "lost": worse}));
     } else {
         println!(
             "A: {} ({}), B: {} ({})",
             options.a.display(),
-            options.of_a,
+            options.policy_a,
             options.b.display(),
-            options.of_b
+            options.policy_b
         );
         println!("{}", compare::table(&lines));
     }
-    Ok(if lost { Exit::Failure } else { Exit::Success })
+    Ok(if worse { Exit::Failure } else { Exit::Success })
 }
--- a/cli/src/lab/faults.rs
+++ b/cli/src/lab/faults.rs
@@ -37,32 +37,34 @@
 }
 
 pub fn run(options: &FaultsOptions) -> CommandResult {
-    let variant = variant(options.broken.as_deref())?;
+    let variant = parse_variant(options.broken.as_deref())?;
     let schedules = read_schedules(&options.files)?;
     if let Some(fleets) = options.processes {
-        return on_processes(options, schedules, fleets);
+        return run_on_processes(options, schedules, fleets);
     }
-    let searched = in_virtual_time(options, &schedules, variant)?;
+    let result = run_in_virtual_time(options, &schedules, variant)?;
     let shrunk: Vec<Found> =
-        searched.found.iter().take(options.shrink).map(|found| shrink(found, variant)).collect();
+        result.found.iter().take(options.shrink).map(|found| shrink(found, variant)).collect();
     if let Some(out) = options.out.as_ref().filter(|_| !shrunk.is_empty()) {
         write_schedules(out, &shrunk)?;
     }
     if options.output.json {
-        print_as_json(&searched);
+        print_as_json(&result);
     } else {
-        print_as_text(&searched, &shrunk)?;
+        print_as_text(&result, &shrunk)?;
     }
-    Ok(if searched.found.is_empty() { Exit::Success } else { Exit::Failure })
+    Ok(if result.found.is_empty() { Exit::Success } else { Exit::Failure })
 }
 
-fn variant(broken: Option<&str>) -> Result<Variant, String> {
+fn parse_variant(broken: Option<&str>) -> Result<Variant, String> {
     match broken {
         None => Ok(Variant::AsBuilt),
         Some("no-fence") => Ok(Variant::NoFence),
         Some("no-margin") => Ok(Variant::NoMargin),
         Some("no-safe-mode") => Ok(Variant::NoSafeMode),
-        Some(other) => Err(format!("--broken: '{other}' is none of no-fence, no-margin and no-safe-mode")),
+        Some(unknown) => {
+            Err(format!("--broken: '{unknown}' is none of no-fence, no-margin and no-safe-mode"))
+        }
     }
 }
 
@@ -76,15 +78,15 @@
     files.iter().map(read).collect()
 }
 
-fn on_processes(options: &FaultsOptions, mut schedules: Vec<Schedule>, fleets: usize) -> CommandResult {
+fn run_on_processes(options: &FaultsOptions, mut schedules: Vec<Schedule>, fleets: usize) -> CommandResult {
     if options.files.is_empty() {
         let seeds = options.seed..options.seed.saturating_add(options.plays);
         schedules = seeds.map(leases::search::schedule).collect();
     }
-    group::faults(&schedules, fleets)
+    group::run_fault_schedules(&schedules, fleets)
 }
 
-fn in_virtual_time(
+fn run_in_virtual_time(
     options: &FaultsOptions,
     schedules: &[Schedule],
     variant: Variant,
@@ -93,11 +95,11 @@
         let OutputOptions { threads, json } = options.output;
         return leases::search::search(options.seed, options.plays, variant, threads, json);
     }
-    let mut searched = Searched::default();
+    let mut result = Searched::default();
     for schedule in schedules {
-        searched.add(schedule, leases::world::play_variant(schedule, variant));
+        result.add(schedule, leases::world::play_variant(schedule, variant));
     }
-    Ok(searched)
+    Ok(result)
 }
 
 fn write_schedules(folder: &Path, shrunk: &[Found]) -> Result<(), String> {
@@ -110,36 +112,36 @@
     Ok(())
 }
 
-fn print_as_json(searched: &Searched) {
-    let found: Vec<_> = searched.found.iter().map(|f| (f.schedule.seed, &f.breach.what)).collect();
+fn print_as_json(result: &Searched) {
+    let found: Vec<_> = result.found.iter().map(|f| (f.schedule.seed, &f.breach.what)).collect();
     print_json(&serde_json::json!({
-        "plays": searched.plays, "faults": searched.faults, "seconds": searched.seconds,
-        "admitted": searched.admitted, "refused": searched.refused, "handovers": searched.handovers,
-        "leaders": searched.leaders, "versions": searched.versions,
-        "disagreed_permille": searched.disagreed.0, "disagreed_ms": searched.disagreed.1, "found": found,
+        "plays": result.plays, "faults": result.faults, "seconds": result.seconds,
+        "admitted": result.admitted, "refused": result.refused, "handovers": result.handovers,
+        "leaders": result.leaders, "versions": result.versions,
+        "disagreed_permille": result.disagreed.0, "disagreed_ms": result.disagreed.1, "found": found,
     }));
 }
 
-fn print_as_text(searched: &Searched, shrunk: &[Found]) -> Result<(), String> {
+fn print_as_text(result: &Searched, shrunk: &[Found]) -> Result<(), String> {
     println!(
         "{} schedules, {} faults, {} virtual seconds: {} leaders, {} handovers, {} actions let in, {} refused by the \
          fence; {} schedules break a property",
-        searched.plays,
-        searched.faults,
-        searched.seconds,
-        searched.leaders,
-        searched.handovers,
-        searched.admitted,
-        searched.refused,
-        searched.found.len()
+        result.plays,
+        result.faults,
+        result.seconds,
+        result.leaders,
+        result.handovers,
+        result.admitted,
+        result.refused,
+        result.found.len()
     );
     println!(
         "{} versions in force; the longest that two proxies acted on different ones: {} ms, {:.1} % of the bound",
-        searched.versions,
-        searched.disagreed.1,
-        searched.disagreed.0 as f64 / 10.0
+        result.versions,
+        result.disagreed.1,
+        result.disagreed.0 as f64 / 10.0
     );
-    for Found { schedule, breach, .. } in &searched.found {
+    for Found { schedule, breach, .. } in &result.found {
         println!("  seed {}: {}", schedule.seed, breach.what);
     }
     for Found { schedule, breach, .. } in shrunk {
--- a/cli/src/lab/list.rs
+++ b/cli/src/lab/list.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 
 pub fn run(as_json: bool) {
-    let about = |text: &str| {
+    let description = |text: &str| {
         let spec = scenario::parse("built in", text).expect("built-in scenarios are tested");
         spec.about
     };
     if as_json {
         print_json(&serde_json::json!({
-            "scenarios": BUILT_IN.iter().map(|(n, t)| (*n, about(t))).collect::<BTreeMap<_, _>>(),
+            "scenarios": BUILT_IN.iter().map(|(n, t)| (*n, description(t))).collect::<BTreeMap<_, _>>(),
             "policies": Kind::all().iter().map(|k| k.name()).collect::<Vec<_>>(),
             "faults": faults::FaultKind::ALL.iter().map(|k| (k.name(), k.description()))
                 .collect::<BTreeMap<_, _>>(),
@@ -22,7 +22,7 @@
     }
     println!("Scenarios:");
     for (name, text) in BUILT_IN {
-        println!("  {name:16} {}", about(text));
+        println!("  {name:16} {}", description(text));
     }
     println!("\nPolicies:");
     for kind in Kind::all() {
@@ -30,8 +30,8 @@
     }
     println!("\nKinds of fault, with their figures and usual values:");
     for kind in faults::FaultKind::ALL {
-        let figures: Vec<String> =
-            kind.parameters().iter().map(|f| format!("{}={}", f.field.name(), f.default)).collect();
-        println!("  {:16} {}\n  {:16} {}", kind.name(), kind.description(), "", figures.join(" "));
+        let parameters: Vec<String> =
+            kind.parameters().iter().map(|p| format!("{}={}", p.field.name(), p.default)).collect();
+        println!("  {:16} {}\n  {:16} {}", kind.name(), kind.description(), "", parameters.join(" "));
     }
 }
--- a/cli/src/lab/mod.rs
+++ b/cli/src/lab/mod.rs
@@ -42,7 +42,7 @@
     #[command(after_help = "Examples:
   notchdoor lab slow-start --proxies 4,30,300 --days 2000,2000,200
   notchdoor lab slow-start --proxies 30 --days 50 --policy broken-no-slow-start")]
-    SlowStart(slow_start::SlowStart),
+    SlowStart(slow_start::SlowStartOptions),
     /// Compare two results day by day, and say whether they differ by more than noise.
     #[command(after_help = "Examples:
   notchdoor lab compare results/before results/after
@@ -62,13 +62,13 @@
   notchdoor lab pairs
   notchdoor lab pairs --with 7fa3b63
   notchdoor lab pairs --program /path/to/an/earlier/notchdoor")]
-    Pairs(pairs::Pairs),
+    Pairs(pairs::PairsOptions),
     /// Measure the lease group on processes: takeovers, load, latency, a long run.
     #[command(after_help = "Examples:
   notchdoor lab group takeover --plays 50 --out results/takeover
   notchdoor lab group load --proxies 10,30,100,300
   notchdoor lab group soak --minutes 60")]
-    Group(group::Group),
+    Group(group::GroupOptions),
     /// List the built-in scenarios, the policies and the kinds of fault.
     List {
         /// As JSON.
--- a/cli/src/lab/search.rs
+++ b/cli/src/lab/search.rs
@@ -72,28 +72,28 @@
     let budget =
         Budget { days: options.days, time: seconds.map(Duration::from_secs_f64), first: options.first };
     let OutputOptions { threads, json } = options.output;
-    let searched = search::search(&base.spec, policy, options.seed, budget, threads, json)?;
-    let shrunk = shrink_first(&searched, policy, options.shrink);
+    let result = search::search(&base.spec, policy, options.seed, budget, threads, json)?;
+    let shrunk = shrink_first(&result, policy, options.shrink);
     if let Some(out) = &options.out {
         write_scenarios(out, &shrunk)?;
     }
     if json {
-        print_as_json(&searched);
+        print_as_json(&result);
     } else {
-        print_as_text(&searched, &shrunk);
+        print_as_text(&result, &shrunk);
         if let Some(out) = options.out.as_ref().filter(|_| !shrunk.is_empty()) {
             println!("the scenario files are in {}", out.display());
         }
     }
-    Ok(if searched.found.is_empty() { Exit::Success } else { Exit::Failure })
+    Ok(if result.found.is_empty() { Exit::Success } else { Exit::Failure })
 }
 
-/// The first `most` days of each rule that is broken, made small.
-fn shrink_first(searched: &Search, policy: Kind, most: usize) -> Vec<ShrunkDay> {
+/// The first `max_per_rule` days of each rule that is broken, made small.
+fn shrink_first(result: &Search, policy: Kind, max_per_rule: usize) -> Vec<ShrunkDay> {
     let mut shrunk: Vec<ShrunkDay> = Vec::new();
-    for day in &searched.found {
+    for day in &result.found {
         let rule = format!("{:?}", day.breach.rule);
-        if shrunk.iter().filter(|known| known.rule == rule).count() < most {
+        if shrunk.iter().filter(|known| known.rule == rule).count() < max_per_rule {
             shrunk.extend(search::shrink(&day.spec, policy).map(|small| ShrunkDay { rule, small }));
         }
     }
@@ -104,33 +104,33 @@
     std::fs::create_dir_all(folder).map_err(|e| format!("{}: cannot make: {e}", folder.display()))?;
     for ShrunkDay { rule, small } in shrunk {
         let path = folder.join(format!("{}-{}.toml", rule.to_lowercase(), small.spec.seed));
-        write_file(&path, &found_file(&small.day, &small.spec))?;
+        write_file(&path, &scenario_text(&small.day, &small.spec))?;
     }
     Ok(())
 }
 
-fn print_as_json(searched: &Search) {
-    let found: Vec<_> = searched
+fn print_as_json(result: &Search) {
+    let found: Vec<_> = result
         .found
         .iter()
         .map(|day| serde_json::json!({"seed": day.spec.seed, "breach": day.breach}))
         .collect();
     print_json(&serde_json::json!({
-        "days": searched.days, "requests": searched.requests, "faults": searched.faults,
-        "took_s": searched.took.as_secs_f64(), "found": found,
+        "days": result.days, "requests": result.requests, "faults": result.faults,
+        "took_s": result.took.as_secs_f64(), "found": found,
     }));
 }
 
-fn print_as_text(searched: &Search, shrunk: &[ShrunkDay]) {
+fn print_as_text(result: &Search, shrunk: &[ShrunkDay]) {
     println!(
         "{} random days, {} requests, {} faults in {:.1} s: {} with a broken rule",
-        searched.days,
-        searched.requests,
-        searched.faults,
-        searched.took.as_secs_f64(),
-        searched.found.len()
+        result.days,
+        result.requests,
+        result.faults,
+        result.took.as_secs_f64(),
+        result.found.len()
     );
-    for day in &searched.found {
+    for day in &result.found {
         println!("  seed {}: {}", day.spec.seed, day.breach.what);
     }
     for ShrunkDay { rule, small } in shrunk {
@@ -153,7 +153,7 @@
     let Some(small) = search::shrink(&scenario.spec, policy) else {
         return Err(format!("{}: breaks no rule on seed {}", options.scenario, scenario.spec.seed));
     };
-    let text = found_file(&small.day, &small.spec);
+    let text = scenario_text(&small.day, &small.spec);
     match &options.out {
         Some(path) => write_file(path, &text)?,
         None => print!("{text}"),
@@ -170,12 +170,12 @@
 }
 
 /// A scenario file of a day that breaks a rule, headed by what it shows.
-fn found_file(day: &Day, spec: &notchdoor_model::spec::Spec) -> String {
-    let told: String = report::breach(day)
+fn scenario_text(day: &Day, spec: &notchdoor_model::spec::Spec) -> String {
+    let summary: String = report::breach(day)
         .unwrap_or_default()
         .lines()
         .take_while(|line| !line.contains("what led to it"))
         .map(|line| format!("# {}\n", line.trim()))
         .collect();
-    format!("{told}{}", scenario::write(spec))
+    format!("{summary}{}", scenario::write(spec))
 }
--- a/cli/src/lab/slow_start.rs
+++ b/cli/src/lab/slow_start.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[derive(Args)]
-pub struct SlowStart {
+pub struct SlowStartOptions {
     /// Proxies of the fleet; several sizes with commas.
     #[arg(long, value_delimiter = ',', default_values_t = [4, 30, 300], value_parser = clap::value_parser!(u32).range(1..=10_000))]
     proxies: Vec<u32>,
@@ -35,7 +35,7 @@
     json: bool,
 }
 
-pub fn run(options: &SlowStart) -> CommandResult {
+pub fn run(options: &SlowStartOptions) -> CommandResult {
     let base = scenario::load(&options.base, &[])?;
     let policy = Kind::parse(&options.policy)?;
     if policy.needs_limits() {
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 
 /// The largest written value: sixteen times what the protocol allows.
-const MOST_VALUE_BYTES: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Args)]
 #[command(after_help = "Examples:
@@ -34,7 +34,7 @@
     set: Vec<String>,
     /// Seconds that are scored; the scenario's own where it is not given.
     #[arg(long = "for", value_name = "SECONDS")]
-    length: Option<f64>,
+    seconds: Option<f64>,
     /// Seconds before them that are not.
     #[arg(long, default_value_t = 2.0, value_name = "SECONDS")]
     warm_up: f64,
@@ -70,14 +70,14 @@
     json: bool,
 }
 
-fn address(target: &str) -> Result<SocketAddr, String> {
-    let mut found = target.to_socket_addrs().map_err(|e| format!("{target}: no HOST:PORT: {e}"))?;
-    found.next().ok_or_else(|| format!("{target}: has no address"))
+fn resolve(target: &str) -> Result<SocketAddr, String> {
+    let mut addresses = target.to_socket_addrs().map_err(|e| format!("{target}: no HOST:PORT: {e}"))?;
+    addresses.next().ok_or_else(|| format!("{target}: has no address"))
 }
 
 pub fn run(load: &Load) -> CommandResult {
     let mut set = load.set.clone();
-    set.extend(load.length.map(|s| format!("length_s={s:?}")));
+    set.extend(load.seconds.map(|s| format!("length_s={s:?}")));
     set.push(format!("warm_up_s={:?}", load.warm_up));
     // Faults are for who hosts the world; a load has none.
     let mut scenario = scenario::load(&load.scenario, &set)?;
@@ -92,11 +92,11 @@
             Arrivals::record(&name, &text, &classes)?
         }
     };
-    if load.value_bytes > MOST_VALUE_BYTES {
-        return Err(format!("--value-bytes {}: {MOST_VALUE_BYTES} at the most", load.value_bytes));
+    if load.value_bytes > MAX_VALUE_BYTES {
+        return Err(format!("--value-bytes {}: {MAX_VALUE_BYTES} at the most", load.value_bytes));
     }
     let options = Options {
-        targets: load.targets.iter().map(|t| address(t)).collect::<Result<_, _>>()?,
+        targets: load.targets.iter().map(|t| resolve(t)).collect::<Result<_, _>>()?,
         protocol: load.protocol.parse::<Protocol>().map_err(|e| format!("--protocol: {e}"))?,
         arrivals,
         connections: load.connections,
@@ -107,13 +107,13 @@
         quiet: load.json,
     };
     let seed = load.seed.unwrap_or(scenario.spec.seed);
-    let (day, kept) = play(&scenario.spec, &scenario.name, seed, &options)?;
+    let (day, generator) = play(&scenario.spec, &scenario.name, seed, &options)?;
     let days = [day];
     if let Some(out) = &load.out {
         experiment::write(&days, out)?;
     }
     if load.json {
-        println!("{}", serde_json::json!({"day": days[0], "kept": kept}));
+        println!("{}", serde_json::json!({"day": days[0], "kept": generator}));
     } else {
         println!("{}", report::table(&days));
         for class in &days[0].classes {
@@ -130,17 +130,17 @@
         }
         println!(
             "the generator: {} due, {} voided, late by p50 {:.2}, p99 {:.2}, longest {:.1} ms; {} connections opened",
-            kept.due, kept.voided, kept.late_p50_ms, kept.late_p99_ms, kept.late_max_ms, kept.opened
+            generator.due, generator.voided, generator.late_p50_ms, generator.late_p99_ms, generator.late_max_ms, generator.opened
         );
         if let Some(out) = &load.out {
             println!("result.json, summary.md and the charts are in {}", out.display());
         }
     }
-    if !kept.tells() {
+    if !generator.tells() {
         eprintln!(
             "{} of {} requests could not be sent in time: this run tells nothing of its target; ask for less, or give \
              more threads",
-            kept.voided, kept.due
+            generator.voided, generator.due
         );
         return Ok(Exit::Failure);
     }
--- a/cli/src/settings.rs
+++ b/cli/src/settings.rs
@@ -1,6 +1,6 @@
 //! `notchdoor settings`: versions of what is forbidden, seen, planned, applied; and who acts on which.
 
-use crate::coord::Group;
+use crate::coord::GroupOptions;
 use crate::{CommandResult, Exit};
 use clap::Subcommand;
 use notchdoor_coordination::config::parse_rules;
@@ -17,14 +17,14 @@
 pub enum Command {
     /// The version in force and the pending one.
     #[command(after_help = "Example:\n  notchdoor settings show --at 127.0.0.1:7201,127.0.0.1:7202")]
-    Show(Group),
+    Show(GroupOptions),
     /// What a file would change, against the newest version. Nothing is proposed.
     #[command(after_help = "Example:\n  notchdoor settings plan rules.toml --coord coord.toml")]
     Plan {
         /// The file: [block] with classes and keys, [workers] with out.
         file: PathBuf,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
     /// Propose a file as the next version; exits with 1 where a newer one was faster.
     #[command(
@@ -40,7 +40,7 @@
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        group: Group,
+        group: GroupOptions,
     },
     /// The version that each proxy acts on, since when, and until when it is confirmed.
     #[command(after_help = "Example:\n  notchdoor settings status 127.0.0.1:9001 127.0.0.1:9002 --json")]
@@ -54,24 +54,24 @@
     },
 }
 
-fn versions(group: &Group) -> Result<VersionedConfig, String> {
-    match group.ask(Request::Versions)? {
+fn fetch_versions(group: &GroupOptions) -> Result<VersionedConfig, String> {
+    match group.send_request(Request::Versions)? {
         Answer::Versions(versions) => Ok(versions),
-        other => Err(format!("an answer of another kind: {other:?}")),
+        unexpected => Err(format!("an answer of another kind: {unexpected:?}")),
     }
 }
 
-fn rules(path: &Path, group: &Group) -> Result<BlockRules, String> {
+fn read_rules(path: &Path, group: &GroupOptions) -> Result<BlockRules, String> {
     let name = path.display().to_string();
     let text = bounded_file::read_text(path, bounded_file::MAX_AUTHORED_BYTES)
         .map_err(|e| format!("{name}: cannot read: {e}"))?;
-    parse_rules(&name, &text, group.guard()?.as_ref())
+    parse_rules(&name, &text, group.block_guard()?.as_ref())
 }
 
 pub fn run(command: &Command) -> CommandResult {
     match command {
         Command::Show(group) => {
-            let versions = versions(group)?;
+            let versions = fetch_versions(group)?;
             if group.json {
                 println!("{}", serde_json::json!({"current": versions.current(), "next": versions.next()}));
             } else {
@@ -86,8 +86,8 @@
             Ok(Exit::Success)
         }
         Command::Plan { file, group } => {
-            let rules = rules(file, group)?;
-            let versions = versions(group)?;
+            let rules = read_rules(file, group)?;
+            let versions = fetch_versions(group)?;
             let newest = versions.newest();
             let changes = newest.rules.changes_to(&rules);
             if group.json {
@@ -106,63 +106,63 @@
     }
 }
 
-fn apply(file: &Path, base: Option<u64>, wait: bool, group: &Group) -> CommandResult {
-    let rules = rules(file, group)?;
+fn apply(file: &Path, base: Option<u64>, wait: bool, group: &GroupOptions) -> CommandResult {
+    let rules = read_rules(file, group)?;
     let base = match base {
         Some(base) => base,
-        None => versions(group)?.newest().number,
+        None => fetch_versions(group)?.newest().number,
     };
-    let told = |text: String, proposed: &ProposalOutcome| match group.json {
+    let report = |text: String, proposed: &ProposalOutcome| match group.json {
         true => println!("{}", serde_json::json!(proposed)),
         false => println!("{text}"),
     };
-    let proposed = match group.ask(Request::Propose { base, rules })? {
+    let proposed = match group.send_request(Request::Propose { base, rules })? {
         Answer::Proposed(proposed) => proposed,
-        Answer::Refused(why) => return Err(format!("{}: {why}", file.display())),
-        other => return Err(format!("an answer of another kind: {other:?}")),
+        Answer::Refused(reason) => return Err(format!("{}: {reason}", file.display())),
+        unexpected => return Err(format!("an answer of another kind: {unexpected:?}")),
     };
     match &proposed {
         ProposalOutcome::Pending { number } => {
             if wait {
-                let until = Instant::now() + group.limit()?;
-                while versions(group)?.current().number < *number {
-                    if Instant::now() >= until {
+                let deadline = Instant::now() + group.timeout()?;
+                while fetch_versions(group)?.current().number < *number {
+                    if Instant::now() >= deadline {
                         return Err(format!("version {number} is still pending"));
                     }
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                told(format!("version {number} is in force"), &proposed);
+                report(format!("version {number} is in force"), &proposed);
             } else {
-                told(format!("version {number} is pending"), &proposed);
+                report(format!("version {number} is pending"), &proposed);
             }
             Ok(Exit::Success)
         }
         ProposalOutcome::Unchanged { number } => {
-            told(format!("version {number} forbids the same: nothing is changed"), &proposed);
+            report(format!("version {number} forbids the same: nothing is changed"), &proposed);
             Ok(Exit::Success)
         }
         ProposalOutcome::Stale { newest } => {
-            told(format!("version {newest} has come since {base}: plan again"), &proposed);
+            report(format!("version {newest} has come since {base}: plan again"), &proposed);
             Ok(Exit::Failure)
         }
         ProposalOutcome::Busy { pending } => {
-            told(format!("version {pending} is still pending: apply again once it is in force"), &proposed);
+            report(format!("version {pending} is still pending: apply again once it is in force"), &proposed);
             Ok(Exit::Failure)
         }
-        ProposalOutcome::Invalid(why) => Err(format!("{}: {why}", file.display())),
+        ProposalOutcome::Invalid(reason) => Err(format!("{}: {reason}", file.display())),
     }
 }
 
 /// A proxy's figures of versions; null where it acts on none.
-fn figures(at: SocketAddr) -> Result<serde_json::Value, String> {
-    let told = |e: std::io::Error| e.to_string();
-    let wait = Duration::from_secs(2);
-    let mut stream = TcpStream::connect_timeout(&at, wait).map_err(told)?;
-    stream.set_read_timeout(Some(wait)).map_err(told)?;
-    write!(stream, "GET /_vars HTTP/1.1\r\nHost: {at}\r\n\r\n").map_err(told)?;
+fn fetch_version_status(at: SocketAddr) -> Result<serde_json::Value, String> {
+    let to_message = |e: std::io::Error| e.to_string();
+    let timeout = Duration::from_secs(2);
+    let mut stream = TcpStream::connect_timeout(&at, timeout).map_err(to_message)?;
+    stream.set_read_timeout(Some(timeout)).map_err(to_message)?;
+    write!(stream, "GET /_vars HTTP/1.1\r\nHost: {at}\r\n\r\n").map_err(to_message)?;
     let (mut decoder, mut body, mut buffer) = (Decoder::default(), Vec::new(), [0; 4096]);
     loop {
-        let n = stream.read(&mut buffer).map_err(told)?;
+        let n = stream.read(&mut buffer).map_err(to_message)?;
         let parts = match n {
             0 => decoder.closed().into_iter().collect(),
             n => decoder.feed(&buffer[..n]).map_err(|_| "no HTTP answer".to_owned())?,
@@ -184,28 +184,28 @@
 }
 
 fn status(proxies: &[SocketAddr], json: bool) -> CommandResult {
-    let told: Vec<_> = proxies.iter().map(|at| (at, figures(*at))).collect();
+    let statuses: Vec<_> = proxies.iter().map(|at| (at, fetch_version_status(*at))).collect();
     if json {
-        let line = |(at, told): &(&SocketAddr, Result<serde_json::Value, String>)| match told {
-            Ok(acting) => serde_json::json!({"at": at, "versions": acting}),
-            Err(why) => serde_json::json!({"at": at, "error": why}),
+        let to_json = |(at, status): &(&SocketAddr, Result<serde_json::Value, String>)| match status {
+            Ok(figures) => serde_json::json!({"at": at, "versions": figures}),
+            Err(reason) => serde_json::json!({"at": at, "error": reason}),
         };
-        println!("{}", serde_json::Value::from_iter(told.iter().map(line)));
+        println!("{}", serde_json::Value::from_iter(statuses.iter().map(to_json)));
     } else {
         println!("{:22} {:>9} {:>14} {:>14} {:>8}", "proxy", "acts on", "since ms", "until ms", "refused");
-        for (at, told) in &told {
-            match told {
+        for (at, status) in &statuses {
+            match status {
                 Ok(serde_json::Value::Null) => println!("{:22} acts on no versions", at.to_string()),
-                Ok(acting) => {
+                Ok(figures) => {
                     let version =
-                        acting["version"].as_u64().map_or("safe mode".to_owned(), |n| n.to_string());
+                        figures["version"].as_u64().map_or("safe mode".to_owned(), |n| n.to_string());
                     let (since, until, refused) =
-                        (&acting["since_ms"], &acting["until_ms"], &acting["refused"]);
+                        (&figures["since_ms"], &figures["until_ms"], &figures["refused"]);
                     println!("{:22} {version:>9} {since:>14} {until:>14} {refused:>8}", at.to_string());
                 }
-                Err(why) => println!("{:22} {why}", at.to_string()),
+                Err(reason) => println!("{:22} {reason}", at.to_string()),
             }
         }
     }
-    Ok(if told.iter().all(|(_, told)| told.is_ok()) { Exit::Success } else { Exit::Failure })
+    Ok(if statuses.iter().all(|(_, status)| status.is_ok()) { Exit::Success } else { Exit::Failure })
 }
--- a/cli/src/tests.rs
+++ b/cli/src/tests.rs
@@ -3,6 +3,6 @@
 use super::*;
 
 #[test]
-fn the_command_line_is_sound() {
+fn command_line_definition_is_valid() {
     CommandLine::command().debug_assert();
 }
