--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -77,7 +77,7 @@
             return Err(InputError::MessageOutsideBatch { message: kind.to_owned() });
         };
         if kind == "eob" {
-            Output::Done { batch: batch }.append_to(reply);
+            Output::Done { batch }.append_to(reply);
             self.batch = None;
             return Ok(true);
         }
