--- a/cli/src/coord.rs
+++ b/cli/src/coord.rs
@@ -76,7 +76,7 @@
     List(GroupOptions),
     /// Show the lease of a task; exits with 1 if it has no lease holder.
     Show {
-        /// The task.
+        /// Task name.
         task: String,
         #[command(flatten)]
         group: GroupOptions,
@@ -87,7 +87,7 @@
 so that two holders never act at the same time."
     )]
     Release {
-        /// The task.
+        /// Task name.
         task: String,
         #[command(flatten)]
         group: GroupOptions,
--- a/cli/src/lab/compare.rs
+++ b/cli/src/lab/compare.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab compare`: two results held against each other, day by day.
+//! `notchdoor lab compare`: compares two results day by day.
 
 use super::print_json;
 use crate::{CommandResult, Exit};
@@ -9,14 +9,14 @@
 
 #[derive(Args)]
 pub struct CompareOptions {
-    /// A result: a folder of `lab run`, or its result.json.
+    /// First result: an output directory of `lab run`, or its result.json.
     a: PathBuf,
-    /// Another.
+    /// Second result.
     b: PathBuf,
-    /// The policy of A that is compared.
+    /// Policy of the first result to compare.
     #[arg(long = "a", value_name = "POLICY", default_value = "notchdoor")]
     policy_a: String,
-    /// The policy of B that is compared.
+    /// Policy of the second result to compare.
     #[arg(long = "b", value_name = "POLICY", default_value = "notchdoor")]
     policy_b: String,
     /// Print JSON instead of a table.
@@ -29,7 +29,7 @@
         let days = experiment::read(path)?;
         let days: Vec<Day> = days.into_iter().filter(|d| d.policy == policy).collect();
         if days.is_empty() {
-            return Err(format!("{}: holds no day of the policy '{policy}'", path.display()));
+            return Err(format!("{}: contains no day of policy '{policy}'", path.display()));
         }
         Ok(days)
     };
--- a/cli/src/lab/faults.rs
+++ b/cli/src/lab/faults.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab faults`: random faults on the lease group, in virtual time or on processes.
+//! `notchdoor lab faults`: runs fault schedules on the lease group, in virtual time or on processes.
 
 use super::{print_json, write_file, OutputOptions};
 use crate::{group, CommandResult, Exit};
@@ -12,24 +12,25 @@
 
 #[derive(Args)]
 pub struct FaultsOptions {
-    /// Schedule files to play instead of random ones.
+    /// Schedule files to run instead of random schedules.
     files: Vec<PathBuf>,
-    /// Random schedules.
+    /// Number of random schedules.
     #[arg(long, default_value_t = 1000)]
     plays: u64,
-    /// The first seed.
+    /// First random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Play on processes of this program, so many fleets at once, instead of in virtual time. Nothing is shrunk.
+    /// Run on processes of this program instead of in virtual time, with this many fleets in parallel. Disables
+    /// shrinking.
     #[arg(long, value_name = "FLEETS")]
     processes: Option<usize>,
-    /// Break the code on purpose, to see that it is found: no-fence, no-margin or no-safe-mode.
+    /// Disable a safety mechanism to verify that violations are detected: no-fence, no-margin or no-safe-mode.
     #[arg(long, value_name = "HOW", conflicts_with = "processes")]
     broken: Option<String>,
-    /// A folder for the schedules that break a property, shrunk.
+    /// Output directory for the shrunk schedules that violate a property.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// At most so many are shrunk.
+    /// Maximum number of schedules to shrink.
     #[arg(long, default_value_t = 3)]
     shrink: usize,
     #[command(flatten)]
@@ -63,7 +64,7 @@
         Some("no-margin") => Ok(Variant::NoMargin),
         Some("no-safe-mode") => Ok(Variant::NoSafeMode),
         Some(unknown) => {
-            Err(format!("--broken: '{unknown}' is none of no-fence, no-margin and no-safe-mode"))
+            Err(format!("--broken: unknown value '{unknown}'; expected no-fence, no-margin or no-safe-mode"))
         }
     }
 }
@@ -103,7 +104,7 @@
 }
 
 fn write_schedules(folder: &Path, shrunk: &[Found]) -> Result<(), String> {
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: cannot make: {e}", folder.display()))?;
+    std::fs::create_dir_all(folder).map_err(|e| format!("{}: cannot create: {e}", folder.display()))?;
     for found in shrunk {
         let rule = format!("{:?}", found.breach.rule).to_lowercase();
         let text = format!("# {}\n{}", found.breach.what.replace('\n', " "), found.schedule.write()?);
@@ -124,8 +125,8 @@
 
 fn print_as_text(result: &Searched, shrunk: &[Found]) -> Result<(), String> {
     println!(
-        "{} schedules, {} faults, {} virtual seconds: {} leaders, {} handovers, {} actions let in, {} refused by the \
-         fence; {} schedules break a property",
+        "{} schedules, {} faults, {} virtual seconds: {} leaders, {} handovers, {} actions admitted, {} rejected by the \
+         fencing token; {} schedules violate a property",
         result.plays,
         result.faults,
         result.seconds,
@@ -136,7 +137,7 @@
         result.found.len()
     );
     println!(
-        "{} versions in force; the longest that two proxies acted on different ones: {} ms, {:.1} % of the bound",
+        "{} versions in force; two proxies acted on different versions for at most {} ms, {:.1} % of the bound",
         result.versions,
         result.disagreed.1,
         result.disagreed.0 as f64 / 10.0
@@ -145,7 +146,7 @@
         println!("  seed {}: {}", schedule.seed, breach.what);
     }
     for Found { schedule, breach, .. } in shrunk {
-        println!("\nseed {} shrunk, {}:\n{}", schedule.seed, breach.what, schedule.write()?);
+        println!("\nseed {}, shrunk: {}:\n{}", schedule.seed, breach.what, schedule.write()?);
     }
     Ok(())
 }
--- a/cli/src/lab/list.rs
+++ b/cli/src/lab/list.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab list`: the built-in scenarios, the policies and the kinds of fault.
+//! `notchdoor lab list`: lists the built-in scenarios, the policies and the fault kinds.
 
 use super::print_json;
 use notchdoor_lab::policy::Kind;
@@ -8,7 +8,7 @@
 
 pub fn run(as_json: bool) {
     let description = |text: &str| {
-        let spec = scenario::parse("built in", text).expect("built-in scenarios are tested");
+        let spec = scenario::parse("built in", text).expect("built-in scenarios are valid");
         spec.about
     };
     if as_json {
@@ -28,7 +28,7 @@
     for kind in Kind::all() {
         println!("  {}", kind.name());
     }
-    println!("\nKinds of fault, with their figures and usual values:");
+    println!("\nFault kinds, with their parameters and default values:");
     for kind in faults::FaultKind::ALL {
         let parameters: Vec<String> =
             kind.parameters().iter().map(|p| format!("{}={}", p.field.name(), p.default)).collect();
--- a/cli/src/lab/play.rs
+++ b/cli/src/lab/play.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab play`: a day on sockets, with real proxies as processes.
+//! `notchdoor lab play`: runs a scenario on sockets, with real proxies as processes.
 
 use super::print_json;
 use crate::{CommandResult, Exit};
@@ -10,21 +10,21 @@
 
 #[derive(Args)]
 pub struct PlayOptions {
-    /// A built-in scenario by name, or a file. Of its faults, origin-stop alone can be played so far.
+    /// Built-in scenario name, or a scenario file. The only supported fault is origin-stop.
     scenario: String,
-    /// A field to change, as PATH=VALUE. May be given again.
+    /// Scenario field to override, as PATH=VALUE. Can be repeated.
     #[arg(long, value_name = "PATH=VALUE")]
     set: Vec<String>,
-    /// The seed; the scenario's own where it is not given.
+    /// Random seed; defaults to the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// A folder for result.json, summary.md, the charts and the proxies' logs; made if need be.
+    /// Output directory for result.json, summary.md, the charts and the proxies' logs; created if missing.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Memory that each proxy is granted, in MiB.
+    /// Memory limit of each proxy, in MiB.
     #[arg(long, default_value_t = 48)]
     memory_mb: u32,
-    /// Descriptors that each proxy is held to.
+    /// File descriptor limit of each proxy.
     #[arg(long, default_value_t = 384)]
     sockets: u32,
     /// Print JSON instead of tables.
@@ -37,7 +37,8 @@
     let seed = options.seed.unwrap_or(scenario.spec.seed);
     let scratch = std::env::temp_dir().join(format!("notchdoor-play-{}", std::process::id()));
     let proxies = play::Proxies {
-        program: std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?,
+        program: std::env::current_exe()
+            .map_err(|e| format!("cannot find this program's executable: {e}"))?,
         memory_mb: options.memory_mb,
         sockets: options.sockets,
         folder: options.out.as_ref().map_or(scratch.clone(), |out| out.join("proxies")),
@@ -47,7 +48,7 @@
     let played = play::play(&scenario.spec, &scenario.name, seed, &proxies)?;
     let good = played.broken.is_empty() && played.void.is_none();
     if good && options.out.is_none() {
-        // What is left behind is no use to anybody; a failure to remove it is none either.
+        // Best effort: a leftover temporary directory is harmless.
         let _ = std::fs::remove_dir_all(&scratch);
     }
     let mut day = played.day;
@@ -64,20 +65,20 @@
         println!("{}", report::table(&days));
         for (me, took) in played.took.iter().enumerate() {
             println!(
-                "proxy {me}: {:.1} MiB resident at first, {:.1} at most, {} descriptors at most",
+                "proxy {me}: {:.1} MiB resident at start, {:.1} MiB peak, {} descriptors peak",
                 took.first_kb as f64 / 1024.0,
                 took.most_kb as f64 / 1024.0,
                 took.descriptors
             );
         }
-        println!("the stand-ins: {:?}", played.seen);
-        println!("the generator: {:?}", played.kept);
+        println!("simulated servers: {:?}", played.seen);
+        println!("load generator: {:?}", played.kept);
     }
     for what in &played.broken {
-        eprintln!("broken: {what}");
+        eprintln!("rule violated: {what}");
     }
     if let Some(why) = &played.void {
-        eprintln!("this day tells nothing: {why}");
+        eprintln!("the run is void: {why}");
     }
     if !good {
         eprintln!("the proxies' logs are in {}", proxies.folder.display());
--- a/cli/src/lab/run.rs
+++ b/cli/src/lab/run.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab run`: scenarios played with several policies on several seeds.
+//! `notchdoor lab run`: simulates scenarios with several policies and seeds.
 
 use super::{print_json, OutputOptions};
 use crate::{CommandResult, Exit};
@@ -13,33 +13,32 @@
 
 #[derive(Args)]
 pub struct RunOptions {
-    /// Built-in scenarios by name, or files.
+    /// Built-in scenario names, or scenario files.
     #[arg(required = true)]
     scenarios: Vec<String>,
-    /// A folder for result.json, summary.md and the charts; made if need be.
+    /// Output directory for result.json, summary.md and the charts; created if missing.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// The first seed; the scenario's own where it is not given.
+    /// First random seed; defaults to the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds, from the first one on.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Policies to compare, by name: see `lab list`.
+    /// Policies to compare, by name, separated by commas; see `lab list`.
     #[arg(long, value_delimiter = ',')]
     policies: Vec<String>,
-    /// A file of limits (see `check policy`), to try before it is taken into service: adds the policy 'limited'.
+    /// Policy file to evaluate (see `check policy`); adds the policy 'limited'.
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// A field to change, as PATH=VALUE; several values with commas make a grid. May be given again. A PATH that
-    /// begins with `limits.` is one of the --policy FILE.
+    /// Scenario field to override, as PATH=VALUE; several values separated by commas span a grid. Can be repeated.
+    /// A PATH that starts with `limits.` overrides a field of the --policy FILE.
     #[arg(long, value_name = "PATH=VALUE")]
     set: Vec<String>,
     #[command(flatten)]
     output: OutputOptions,
 }
 
-/// The most seeds of one run.
 const MAX_SEEDS: u64 = 100_000;
 
 pub fn run(options: &RunOptions) -> CommandResult {
@@ -63,7 +62,7 @@
     Ok(if broken.is_empty() { Exit::Success } else { Exit::Failure })
 }
 
-/// What is to be played: every scenario and choice of the grid with every policy on every seed.
+/// Plans every combination of scenario, grid point, policy and seed.
 fn plans(options: &RunOptions) -> Result<Vec<Plan>, String> {
     let scenarios = scenarios(&options.scenarios, &options.set)?;
     let policies = policies(options)?;
@@ -75,7 +74,7 @@
         for &policy in &policies {
             let mut scenario = scenario.clone();
             if !policy.needs_limits() {
-                // A change of limits is none for a policy without: once will do.
+                // Limit overrides do not affect a policy without limits: plan one run for all of them.
                 scenario.set.retain(|change| !change.starts_with(scenario::OF_LIMITS));
             }
             let day = PlannedDay { scenario: scenario.name.clone(), set: scenario.set.clone(), policy };
@@ -88,7 +87,7 @@
     Ok(plans)
 }
 
-/// What tells planned days apart, but for their seeds.
+/// Identifies a planned day apart from its seed.
 #[derive(PartialEq)]
 struct PlannedDay {
     scenario: String,
@@ -96,7 +95,7 @@
     policy: Kind,
 }
 
-/// The scenarios that a command names, with every choice of its grid.
+/// Loads every named scenario at every point of the grid; the error lists all failures.
 fn scenarios(names: &[String], set: &[String]) -> Result<Vec<Scenario>, String> {
     let choices = scenario::grid(set)?;
     let mut loaded = Vec::new();
@@ -126,14 +125,14 @@
     match (&options.policy, limited) {
         (Some(_), None) => policies.insert(policies.len().min(1), Kind::Limited),
         (None, Some(limited)) => {
-            return Err(format!("the policy '{}' needs a file: give --policy FILE", limited.name()))
+            return Err(format!("policy '{}' requires a policy file: use --policy FILE", limited.name()))
         }
         _ => {}
     }
     Ok(policies)
 }
 
-/// The file of limits, with the changes that a scenario's choice of the grid makes to it.
+/// Reads the policy file and applies the scenario's limit overrides.
 fn limits(options: &RunOptions, scenario: &Scenario) -> Result<Option<Arc<Policy>>, String> {
     let changes: Vec<&str> =
         scenario.set.iter().filter_map(|change| change.strip_prefix(scenario::OF_LIMITS)).collect();
@@ -143,14 +142,14 @@
             let policy = crate::check::read_policy(path, &changes, &context)?;
             Ok(Some(Arc::new(policy)))
         }
-        (None, Some(change)) => Err(format!("--set {}{change}: needs --policy FILE", scenario::OF_LIMITS)),
+        (None, Some(change)) => Err(format!("--set {}{change}: requires --policy FILE", scenario::OF_LIMITS)),
         (None, None) => Ok(None),
     }
 }
 
 fn seeds(options: &RunOptions, scenario: &Scenario) -> Result<Vec<u64>, String> {
     if options.seeds > MAX_SEEDS {
-        return Err(format!("--seeds {}: {MAX_SEEDS} at the most", options.seeds));
+        return Err(format!("--seeds {}: must be at most {MAX_SEEDS}", options.seeds));
     }
     let first = options.seed.unwrap_or(scenario.spec.seed);
     Ok((first..first.saturating_add(options.seeds.max(1))).collect())
--- a/cli/src/lab/search.rs
+++ b/cli/src/lab/search.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab search` and `lab shrink`: random days until a rule is broken, and such a day made small.
+//! `notchdoor lab search` and `lab shrink`: searches random days for rule violations and shrinks them.
 
 use super::{print_json, write_file, OutputOptions};
 use crate::{CommandResult, Exit};
@@ -12,28 +12,28 @@
 
 #[derive(Args)]
 pub struct SearchOptions {
-    /// A scenario whose figures the random days start from.
+    /// Scenario that the random days are derived from.
     #[arg(long, default_value = "calm")]
     base: String,
-    /// Days at most.
+    /// Maximum number of days.
     #[arg(long, default_value_t = 2000)]
     days: u64,
-    /// Begin no further day after so many minutes.
+    /// Start no new day after this many minutes.
     #[arg(long)]
     minutes: Option<f64>,
-    /// The first seed.
+    /// First random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Stop at the first broken rule.
+    /// Stop at the first violation.
     #[arg(long)]
     first: bool,
-    /// The policy.
+    /// Policy to simulate.
     #[arg(long, default_value = "notchdoor")]
     policy: String,
-    /// A folder for the days found, each as a scenario file; made if need be.
+    /// Output directory for the violations as scenario files; created if missing.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Shrink the first so many days of each rule that is broken.
+    /// Number of days to shrink per violated rule.
     #[arg(long, default_value_t = 1)]
     shrink: usize,
     #[command(flatten)]
@@ -42,26 +42,26 @@
 
 #[derive(Args)]
 pub struct ShrinkOptions {
-    /// The scenario file.
+    /// Scenario file, or the name of a built-in scenario.
     scenario: String,
-    /// The seed; the file's own where it is not given.
+    /// Random seed; defaults to the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// The policy.
+    /// Policy to simulate.
     #[arg(long, default_value = "notchdoor")]
     policy: String,
-    /// Where the small day goes; standard output where it is not given.
+    /// Output file for the shrunk scenario; defaults to standard output.
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
 }
 
-/// A day that breaks a rule, made small.
+/// A shrunk day that violates a rule.
 struct ShrunkDay {
     rule: String,
     small: Shrunk,
 }
 
-/// A search ends by itself after so many seconds at the latest.
+/// Upper bound of `--minutes`, in seconds.
 const MAX_SEARCH_S: f64 = 1e6;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
@@ -88,7 +88,7 @@
     Ok(if result.found.is_empty() { Exit::Success } else { Exit::Failure })
 }
 
-/// The first `max_per_rule` days of each rule that is broken, made small.
+/// Shrinks the first `max_per_rule` days of each violated rule.
 fn shrink_first(result: &Search, policy: Kind, max_per_rule: usize) -> Vec<ShrunkDay> {
     let mut shrunk: Vec<ShrunkDay> = Vec::new();
     for day in &result.found {
@@ -101,7 +101,7 @@
 }
 
 fn write_scenarios(folder: &Path, shrunk: &[ShrunkDay]) -> Result<(), String> {
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: cannot make: {e}", folder.display()))?;
+    std::fs::create_dir_all(folder).map_err(|e| format!("{}: cannot create: {e}", folder.display()))?;
     for ShrunkDay { rule, small } in shrunk {
         let path = folder.join(format!("{}-{}.toml", rule.to_lowercase(), small.spec.seed));
         write_file(&path, &scenario_text(&small.day, &small.spec))?;
@@ -123,7 +123,7 @@
 
 fn print_as_text(result: &Search, shrunk: &[ShrunkDay]) {
     println!(
-        "{} random days, {} requests, {} faults in {:.1} s: {} with a broken rule",
+        "{} random days, {} requests, {} faults in {:.1} s: {} with a rule violation",
         result.days,
         result.requests,
         result.faults,
@@ -135,7 +135,7 @@
     }
     for ShrunkDay { rule, small } in shrunk {
         println!(
-            "\n{rule}, seed {}, shrunk in {} days to {} faults, {} workers, {} proxies:",
+            "\n{rule}, seed {}, shrunk in {} runs to {} faults, {} backends, {} proxies:",
             small.spec.seed,
             small.tries,
             small.spec.faults.len(),
@@ -151,7 +151,7 @@
     scenario.spec.seed = options.seed.unwrap_or(scenario.spec.seed);
     let policy = Kind::parse(&options.policy)?;
     let Some(small) = search::shrink(&scenario.spec, policy) else {
-        return Err(format!("{}: breaks no rule on seed {}", options.scenario, scenario.spec.seed));
+        return Err(format!("{}: violates no rule with seed {}", options.scenario, scenario.spec.seed));
     };
     let text = scenario_text(&small.day, &small.spec);
     match &options.out {
@@ -159,7 +159,7 @@
         None => print!("{text}"),
     }
     eprintln!(
-        "{} days played; {} faults, {} workers, {} proxies are left",
+        "{} runs; shrunk to {} faults, {} backends, {} proxies",
         small.tries,
         small.spec.faults.len(),
         small.spec.backends.count,
@@ -169,7 +169,7 @@
     Ok(Exit::Failure)
 }
 
-/// A scenario file of a day that breaks a rule, headed by what it shows.
+/// Formats a day as a scenario file, with the violation in a comment at the top.
 fn scenario_text(day: &Day, spec: &notchdoor_model::spec::Spec) -> String {
     let summary: String = report::breach(day)
         .unwrap_or_default()
--- a/cli/src/lab/slow_start.rs
+++ b/cli/src/lab/slow_start.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab slow-start`: the slow-start budget over all proxies, measured on random days.
+//! `notchdoor lab slow-start`: measures the slow-start load of all proxies over random days.
 
 use crate::{CommandResult, Exit};
 use clap::Args;
@@ -9,28 +9,28 @@
 
 #[derive(Args)]
 pub struct SlowStartOptions {
-    /// Proxies of the fleet; several sizes with commas.
+    /// Fleet sizes (number of proxies), separated by commas.
     #[arg(long, value_delimiter = ',', default_values_t = [4, 30, 300], value_parser = clap::value_parser!(u32).range(1..=10_000))]
     proxies: Vec<u32>,
-    /// Random days of each size; the last count holds for the sizes after it too.
+    /// Number of random days per fleet size; the last value also applies to further sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [200, 100, 10])]
     days: Vec<u64>,
-    /// Begin no further day of a size after so many minutes.
+    /// Start no new day of a fleet size after this many minutes.
     #[arg(long)]
     minutes: Option<f64>,
-    /// The first seed.
+    /// First random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The policy.
+    /// Policy to simulate.
     #[arg(long, default_value = "notchdoor")]
     policy: String,
-    /// The scenario that the random days are drawn round.
+    /// Scenario that the random days are derived from.
     #[arg(long, default_value = "calm")]
     base: String,
-    /// Threads; as many as there are cores for 0. The results are the same for any number.
+    /// Number of threads; 0 for one per core. Does not affect the results.
     #[arg(long, default_value_t = 0)]
     threads: usize,
-    /// Print JSON, a line for each size, instead of a table.
+    /// Print one line of JSON per fleet size instead of a table.
     #[arg(long)]
     json: bool,
 }
@@ -39,7 +39,10 @@
     let base = scenario::load(&options.base, &[])?;
     let policy = Kind::parse(&options.policy)?;
     if policy.needs_limits() {
-        return Err(format!("--policy {}: it needs a file of limits", policy.name()));
+        return Err(format!(
+            "--policy {}: policies that require a policy file are not supported",
+            policy.name()
+        ));
     }
     let time = options.minutes.map(|m| Duration::from_secs_f64((m * 60.0).clamp(0.0, 1e6)));
     let mut rows = Vec::new();
@@ -48,7 +51,7 @@
         let sample = Sample { proxies, days, first_seed: options.seed, time, policy };
         let row = slow_start::measure(&base.spec, &sample, options.threads, options.json)?;
         if options.json {
-            println!("{}", serde_json::to_string(&row).expect("rows can always be written"));
+            println!("{}", serde_json::to_string(&row).expect("rows always serialize to JSON"));
         }
         rows.push(row);
     }
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `notchdoor load`: an open-loop load on proxies that run.
+//! `notchdoor load`: generates open-loop load on running proxies.
 
 use crate::{CommandResult, Exit};
 use clap::Args;
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::path::PathBuf;
 
-/// The largest written value: sixteen times what the protocol allows.
+/// Upper bound of `--value-bytes`: 16 times the protocol limit.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Args)]
@@ -20,66 +20,67 @@
   notchdoor load 127.0.0.1:6379 --arrivals steps:200,400,800 --for 60 --threads 2
   notchdoor lab compare results/virtual results/load --a notchdoor --b load
 
-Requests are due when the arrivals say, and their latency counts from then. What the generator could not send within
-20 ms of that is voided; with more than 1% voided it exits with 1, as the run tells nothing of its target.")]
+Each request has an intended send time, and its latency is measured from that time. Requests that the generator cannot
+send within 20 ms of it are voided; if more than 1% are voided, the results are not valid and the exit code is 1.")]
 pub struct Load {
-    /// The proxies, as HOST:PORT.
+    /// Addresses of the proxies, as HOST:PORT.
     #[arg(required = true, value_name = "TARGET")]
     targets: Vec<String>,
-    /// Where classes, tenants, keys, the rate and its shape come from: a built-in scenario's name, or a file.
+    /// Scenario that defines classes, tenants, keys and the request rate: a built-in name, or a file.
     #[arg(long, default_value = "calm")]
     scenario: String,
-    /// A field of the scenario to change, as PATH=VALUE. May be given again.
+    /// Scenario field to override, as PATH=VALUE. Can be repeated.
     #[arg(long, value_name = "PATH=VALUE")]
     set: Vec<String>,
-    /// Seconds that are scored; the scenario's own where it is not given.
+    /// Duration of the measurement in seconds; defaults to the scenario's.
     #[arg(long = "for", value_name = "SECONDS")]
     seconds: Option<f64>,
-    /// Seconds before them that are not.
+    /// Warm-up before the measurement, in seconds.
     #[arg(long, default_value_t = 2.0, value_name = "SECONDS")]
     warm_up: f64,
-    /// scenario, constant:RATE, poisson:RATE, steps:RATE,RATE..., ramp:RATE..RATE, in requests a second.
+    /// Arrival process: scenario, constant:RATE, poisson:RATE, steps:RATE,RATE... or ramp:RATE..RATE, in requests per
+    /// second.
     #[arg(long, default_value = "scenario")]
     arrivals: String,
-    /// A record to play instead: a line for each request, with its seconds, and its class and key if known.
+    /// Recorded arrivals to replay: one line per request with its time in seconds and, if known, its class and key.
     #[arg(long, value_name = "FILE", conflicts_with = "arrivals")]
     record: Option<PathBuf>,
-    /// What is spoken: resp.
+    /// Client protocol: resp.
     #[arg(long, default_value = "resp")]
     protocol: String,
-    /// Connections to one target at the most.
+    /// Maximum number of connections per target.
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Threads. The requests are the same for any number.
+    /// Number of threads. Does not affect the generated requests.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// Bytes of a written value.
+    /// Size of written values in bytes.
     #[arg(long, default_value_t = 1024)]
     value_bytes: usize,
-    /// Clients try again, and leave early, as the scenario has it.
+    /// Let clients retry and disconnect early, as defined by the scenario.
     #[arg(long)]
     retry: bool,
-    /// The seed.
+    /// Random seed; defaults to the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// A folder for result.json, summary.md and the charts, as `lab run` leaves them.
+    /// Output directory for result.json, summary.md and the charts, in the format of `lab run`.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Print JSON instead of tables, and no live view.
+    /// Print JSON instead of tables, without a live view.
     #[arg(long)]
     json: bool,
 }
 
 fn resolve(target: &str) -> Result<SocketAddr, String> {
-    let mut addresses = target.to_socket_addrs().map_err(|e| format!("{target}: no HOST:PORT: {e}"))?;
-    addresses.next().ok_or_else(|| format!("{target}: has no address"))
+    let mut addresses = target.to_socket_addrs().map_err(|e| format!("{target}: expected HOST:PORT: {e}"))?;
+    addresses.next().ok_or_else(|| format!("{target}: resolves to no address"))
 }
 
 pub fn run(load: &Load) -> CommandResult {
     let mut set = load.set.clone();
     set.extend(load.seconds.map(|s| format!("length_s={s:?}")));
     set.push(format!("warm_up_s={:?}", load.warm_up));
-    // Faults are for who hosts the world; a load has none.
+    // Faults are injected only by simulated servers; the targets here are real.
     let mut scenario = scenario::load(&load.scenario, &set)?;
     scenario.spec.faults.clear();
     let classes: Vec<String> = scenario.spec.classes.iter().map(|c| c.name.clone()).collect();
@@ -93,7 +94,7 @@
         }
     };
     if load.value_bytes > MAX_VALUE_BYTES {
-        return Err(format!("--value-bytes {}: {MAX_VALUE_BYTES} at the most", load.value_bytes));
+        return Err(format!("--value-bytes {}: must be at most {MAX_VALUE_BYTES}", load.value_bytes));
     }
     let options = Options {
         targets: load.targets.iter().map(|t| resolve(t)).collect::<Result<_, _>>()?,
@@ -118,7 +119,7 @@
         println!("{}", report::table(&days));
         for class in &days[0].classes {
             println!(
-                "{:12} {} served, service {:.3}, p50 {:.1}, p90 {:.1}, p99 {:.1}, longest {:.1} ms",
+                "{:12} {} served, service {:.3}, p50 {:.1}, p90 {:.1}, p99 {:.1}, max {:.1} ms",
                 class.class,
                 class.served,
                 class.service,
@@ -129,7 +130,7 @@
             );
         }
         println!(
-            "the generator: {} due, {} voided, late by p50 {:.2}, p99 {:.2}, longest {:.1} ms; {} connections opened",
+            "load generator: {} due, {} voided, lateness p50 {:.2}, p99 {:.2}, max {:.1} ms; {} connections opened",
             generator.due, generator.voided, generator.late_p50_ms, generator.late_p99_ms, generator.late_max_ms, generator.opened
         );
         if let Some(out) = &load.out {
@@ -138,8 +139,8 @@
     }
     if !generator.tells() {
         eprintln!(
-            "{} of {} requests could not be sent in time: this run tells nothing of its target; ask for less, or give \
-             more threads",
+            "{} of {} requests could not be sent in time, so the results are not valid; reduce the rate or use more \
+             threads",
             generator.voided, generator.due
         );
         return Ok(Exit::Failure);
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `notchdoor`: sub-commands, help and exit codes. What they do is in the libraries.
+//! The `notchdoor` program: parses the command line, runs sub-commands and maps their results to exit codes.
 
 #![forbid(unsafe_code)]
 
@@ -16,26 +16,26 @@
 use notchdoor_proxy::lifecycle::serve::serve;
 use std::process::ExitCode;
 
-/// How a command ended, as a script can see it.
+/// The exit status of a command that ran without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All is well: 0.
+    /// Exit code 0.
     Success,
-    /// A rule was broken, or a comparison lost: 1.
+    /// Exit code 1: a rule was violated, a comparison was worse or a status check failed.
     Failure,
 }
 
-/// What a command comes to; the error is wrong use or a wrong file, and exits with 2.
+/// The result of a command. Errors (usage, invalid files, failed requests) exit with code 2.
 pub type CommandResult = Result<Exit, String>;
 
 const EXIT_CODES_HELP: &str = "Exit codes:
-  0  all is well
-  1  a rule was broken, or a comparison lost
-  2  wrong use, or a file that is wrong
+  0  success
+  1  a rule was violated, a comparison was worse or a status check failed
+  2  usage error, invalid file or failed operation
 
-Without a command, `notchdoor` serves.";
+Without a command, `notchdoor` runs `serve`.";
 
-/// A proxy for cache fleets with one slow origin, and the tools round it.
+/// A proxy for cache fleets with one slow origin, with its operations and test tools.
 #[derive(Parser)]
 #[command(name = "notchdoor", version, after_help = EXIT_CODES_HELP, disable_help_subcommand = true)]
 struct CommandLine {
@@ -45,49 +45,48 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve as a proxy: what EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY say.
+    /// Run the proxy, configured by EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY.
     #[command(after_help = "Example:\n  EDGE_CONFIG=config.json notchdoor serve --log-format json")]
     Serve {
-        /// How the log is written: text or json. NOTCHDOOR_LOG_FORMAT where this is not given.
+        /// Log format: text or json. Defaults to NOTCHDOOR_LOG_FORMAT, then text.
         #[arg(long, value_name = "FORMAT")]
         log_format: Option<Format>,
-        /// The least level that is logged: error, warn, info or debug. NOTCHDOOR_LOG where this is not given.
+        /// Minimum log level: error, warn, info or debug. Defaults to NOTCHDOOR_LOG.
         #[arg(long, value_name = "LEVEL")]
         log_level: Option<String>,
-        /// A file of limits by route and class. NOTCHDOOR_POLICY where this is not given; none by default.
+        /// Policy file with limits by route and class. Defaults to NOTCHDOOR_POLICY, if set.
         #[arg(long, value_name = "FILE")]
         policy: Option<String>,
-        /// A file of the lease group's members and the tasks to do for the fleet. NOTCHDOOR_COORD where this is not
-        /// given; none by default.
+        /// File with the members of the lease group and the fleet-wide tasks. Defaults to NOTCHDOOR_COORD, if set.
         #[arg(long, value_name = "FILE")]
         coord: Option<String>,
     },
-    /// Run a member of the lease group, look at the group, or change its members.
+    /// Run a member of the lease group, show its status, or change its members.
     #[command(subcommand)]
     Coord(coord::Command),
-    /// Look at the leases of the fleet's tasks, or have one released.
+    /// Show the leases of fleet-wide tasks, or revoke one.
     #[command(subcommand)]
     Lease(coord::Lease),
-    /// Copies that proxies hold for each other: who has which, and giving up what is lost.
+    /// Show the replicas that proxies store for each other, or reset a lost shard.
     #[command(subcommand)]
     Copies(copies::Command),
-    /// Versions of what is forbidden, on which the proxies agree.
+    /// Show, plan and apply configuration versions that block classes and keys or drain backends.
     #[command(subcommand)]
     Settings(settings::Command),
-    /// Check a file without using it.
+    /// Validate a file without applying it.
     #[command(subcommand)]
     Check(check::Command),
-    /// Play days of a whole fleet in virtual time, and experiment with them.
+    /// Simulate a fleet in virtual time and run experiments.
     #[command(subcommand)]
     Lab(lab::Command),
-    /// Put an open-loop load on proxies that run, and take down what becomes of it.
+    /// Generate open-loop load on running proxies and record the results.
     Load(Box<load::Load>),
-    /// Print what a shell needs to complete this program's commands.
+    /// Print a shell completion script.
     #[command(
         after_help = "Example:\n  notchdoor completions bash > ~/.local/share/bash-completion/completions/notchdoor"
     )]
     Completions {
-        /// The shell: bash, elvish, fish, powershell or zsh.
+        /// Shell: bash, elvish, fish, powershell or zsh.
         shell: clap_complete::Shell,
     },
 }
@@ -110,7 +109,7 @@
 }
 
 fn run() -> CommandResult {
-    // A bare start is what the platform does a thousand times: it needs no parser.
+    // Starting a proxy without arguments is the common case; skip building the parser.
     if std::env::args_os().len() <= 1 {
         return serve_with(None, None, None, None);
     }
--- a/cli/src/pairs.rs
+++ b/cli/src/pairs.rs
@@ -1,4 +1,4 @@
-//! `notchdoor lab pairs`: this program and earlier revisions of it on one lease group.
+//! `notchdoor lab pairs`: tests upgrades between this program and earlier revisions on one lease group.
 
 use crate::{CommandResult, Exit};
 use clap::Args;
@@ -8,25 +8,26 @@
 
 #[derive(Args)]
 pub struct PairsOptions {
-    /// An earlier revision; those of `testbed/revisions.txt` where none is given.
+    /// Earlier revision to test with; can be repeated. Defaults to those in `testbed/revisions.txt`.
     #[arg(long = "with", value_name = "REVISION")]
     revisions: Vec<String>,
-    /// An earlier build of the program, in place of revisions.
+    /// Executable of an earlier build, instead of revisions.
     #[arg(long, value_name = "FILE", conflicts_with = "revisions")]
     program: Option<PathBuf>,
-    /// The repository whose history has the revisions.
+    /// Git repository that contains the revisions.
     #[arg(long, value_name = "DIR", default_value = ".")]
     repository: PathBuf,
-    /// Where revisions are built and kept.
+    /// Directory where revisions are built and cached.
     #[arg(long, value_name = "DIR", default_value = "target/pairs")]
     folder: PathBuf,
-    /// The bound on versions that the proxies act on, in milliseconds; 0 for none.
+    /// Maximum time that proxies may act on different versions, in milliseconds; 0 to disable versions.
     #[arg(long, default_value_t = 2000)]
     within_ms: u64,
 }
 
 pub fn run(options: &PairsOptions) -> CommandResult {
-    let current = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
+    let current =
+        std::env::current_exe().map_err(|e| format!("cannot find this program's executable: {e}"))?;
     let mut programs = Vec::new();
     if let Some(program) = &options.program {
         programs.push((program.display().to_string(), program.clone()));
@@ -42,7 +43,7 @@
     }
     let mut exit = Exit::Success;
     for (name, earlier) in &programs {
-        // Both ways: from the earlier one to this and back, and the other way round.
+        // Upgrade in both directions, each with a rollback half way.
         let directions = [(earlier, &current, "to this one"), (&current, earlier, "from this one")];
         for (n, (from, to, direction)) in directions.into_iter().enumerate() {
             let folder = std::env::temp_dir().join(format!("notchdoor-pairs-{}-{n}", std::process::id()));
@@ -50,8 +51,8 @@
             let plan = Plan { within_ms: within, ..Plan::new(from, folder) };
             match pairs::upgrade(plan, to) {
                 Ok(upgrade) => println!(
-                    "{name}, {direction}: {} processes changed, a holder acted after {} ms at most; {} actions let in, {} \
-                     refused by the fence, {} handovers: nothing broken",
+                    "{name}, {direction}: {} processes replaced, at most {} ms until a lease holder acted; {} actions admitted, {} \
+                     rejected by the fencing token, {} handovers: no property violated",
                     upgrade.steps,
                     upgrade.slowest.as_millis(),
                     upgrade.checked.admitted,
--- a/cli/src/settings.rs
+++ b/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! `notchdoor settings`: versions of what is forbidden, seen, planned, applied; and who acts on which.
+//! `notchdoor settings`: shows, plans and applies configuration versions, and reports the version of each proxy.
 
 use crate::coord::GroupOptions;
 use crate::{CommandResult, Exit};
@@ -15,37 +15,37 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// The version in force and the pending one.
+    /// Show the active and the pending version.
     #[command(after_help = "Example:\n  notchdoor settings show --at 127.0.0.1:7201,127.0.0.1:7202")]
     Show(GroupOptions),
-    /// What a file would change, against the newest version. Nothing is proposed.
+    /// Show what a file would change compared to the newest version, without proposing it.
     #[command(after_help = "Example:\n  notchdoor settings plan rules.toml --coord coord.toml")]
     Plan {
-        /// The file: [block] with classes and keys, [workers] with out.
+        /// Rules file: [block] with `classes` and `keys`, [workers] with `out`.
         file: PathBuf,
         #[command(flatten)]
         group: GroupOptions,
     },
-    /// Propose a file as the next version; exits with 1 where a newer one was faster.
+    /// Propose a file as the next version; exits with 1 if there is a newer or a pending version.
     #[command(
         after_help = "Example:\n  notchdoor settings apply rules.toml --coord coord.toml --base 7 --wait"
     )]
     Apply {
-        /// The file.
+        /// Rules file.
         file: PathBuf,
-        /// The version that the file was made on, as `plan` told it; the newest one where it is not given.
+        /// Version that the file is based on, as printed by `plan`; defaults to the newest version.
         #[arg(long)]
         base: Option<u64>,
-        /// Wait until it is in force.
+        /// Wait until the version is in force.
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
         group: GroupOptions,
     },
-    /// The version that each proxy acts on, since when, and until when it is confirmed.
+    /// Show the version that each proxy acts on, since when, and until when it is confirmed.
     #[command(after_help = "Example:\n  notchdoor settings status 127.0.0.1:9001 127.0.0.1:9002 --json")]
     Status {
-        /// Where operators call the proxies: their admin addresses.
+        /// Admin addresses of the proxies.
         #[arg(required = true)]
         proxies: Vec<SocketAddr>,
         /// Print JSON instead of a table.
@@ -93,9 +93,9 @@
             if group.json {
                 println!("{}", serde_json::json!({"base": newest.number, "changes": changes}));
             } else if changes.is_empty() {
-                println!("version {} forbids the same: nothing to change", newest.number);
+                println!("no changes: version {} has the same rules", newest.number);
             } else {
-                println!("on version {}:", newest.number);
+                println!("changes to version {}:", newest.number);
                 changes.iter().for_each(|line| println!("  {line}"));
                 println!("apply it with --base {}", newest.number);
             }
@@ -138,11 +138,11 @@
             Ok(Exit::Success)
         }
         ProposalOutcome::Unchanged { number } => {
-            report(format!("version {number} forbids the same: nothing is changed"), &proposed);
+            report(format!("no changes: version {number} has the same rules"), &proposed);
             Ok(Exit::Success)
         }
         ProposalOutcome::Stale { newest } => {
-            report(format!("version {newest} has come since {base}: plan again"), &proposed);
+            report(format!("version {base} is outdated: version {newest} is newer; plan again"), &proposed);
             Ok(Exit::Failure)
         }
         ProposalOutcome::Busy { pending } => {
@@ -153,7 +153,7 @@
     }
 }
 
-/// A proxy's figures of versions; null where it acts on none.
+/// Fetches the `versions` metrics of a proxy from its admin address; null if it takes no part in versions.
 fn fetch_version_status(at: SocketAddr) -> Result<serde_json::Value, String> {
     let to_message = |e: std::io::Error| e.to_string();
     let timeout = Duration::from_secs(2);
@@ -165,7 +165,7 @@
         let n = stream.read(&mut buffer).map_err(to_message)?;
         let parts = match n {
             0 => decoder.closed().into_iter().collect(),
-            n => decoder.feed(&buffer[..n]).map_err(|_| "no HTTP answer".to_owned())?,
+            n => decoder.feed(&buffer[..n]).map_err(|_| "invalid HTTP response".to_owned())?,
         };
         for part in parts {
             match part {
@@ -178,7 +178,7 @@
             }
         }
         if n == 0 {
-            return Err("the answer was cut off".to_owned());
+            return Err("HTTP response truncated".to_owned());
         }
     }
 }
@@ -192,10 +192,10 @@
         };
         println!("{}", serde_json::Value::from_iter(statuses.iter().map(to_json)));
     } else {
-        println!("{:22} {:>9} {:>14} {:>14} {:>8}", "proxy", "acts on", "since ms", "until ms", "refused");
+        println!("{:22} {:>9} {:>14} {:>14} {:>8}", "proxy", "version", "since ms", "until ms", "refused");
         for (at, status) in &statuses {
             match status {
-                Ok(serde_json::Value::Null) => println!("{:22} acts on no versions", at.to_string()),
+                Ok(serde_json::Value::Null) => println!("{:22} versions not enabled", at.to_string()),
                 Ok(figures) => {
                     let version =
                         figures["version"].as_u64().map_or("safe mode".to_owned(), |n| n.to_string());
--- a/cli/src/tests.rs
+++ b/cli/src/tests.rs
@@ -1,4 +1,4 @@
-//! The definition of the command line.
+//! Tests of the command line definition.
 
 use super::*;
 
--- a/cli/tests/command_line.rs
+++ b/cli/tests/command_line.rs
@@ -52,14 +52,14 @@
             &["lab", "run", "calm", "--seeds", "999999999999"],
             2,
             "",
-            "--seeds 999999999999: 100000 at the most",
+            "--seeds 999999999999: must be at most 100000",
         ),
         (&["lab", "run", "calm", "--threads", "9999999"], 2, "", "9999999 threads: 1024 at the most"),
         (
             &["load", "127.0.0.1:1", "--value-bytes", "9999999999999999999"],
             2,
             "",
-            "--value-bytes 9999999999999999999: 1048576 at the most",
+            "--value-bytes 9999999999999999999: must be at most 1048576",
         ),
         (&["check", "config", "/dev/zero"], 2, "", "/dev/zero: cannot read: file exceeds 16777216 bytes"),
         (&["check", "scenario", "/dev/zero"], 2, "", "file exceeds 1048576 bytes"),
@@ -87,7 +87,7 @@
             "after it was told to go",
         ),
         (&["lab", "compare", "/nowhere", "/nowhere"], 2, "", "/nowhere: cannot read"),
-        (&["lab", "shrink", &good], 2, "", "breaks no rule on seed 1"),
+        (&["lab", "shrink", &good], 2, "", "violates no rule with seed 1"),
         (&["labb"], 2, "", "lab"),
     ];
     for (args, code, out, err) in cases {
@@ -156,7 +156,7 @@
         assert!(text(&output.stderr).contains(told), "{}", text(&output.stderr));
     }
     let output = run(&[&base[..4], &["notchdoor", "--set", "limits.budget.a.share=0.1"]].concat());
-    assert!(text(&output.stderr).contains("needs --policy FILE"), "{}", text(&output.stderr));
+    assert!(text(&output.stderr).contains("requires --policy FILE"), "{}", text(&output.stderr));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -220,8 +220,8 @@
         run(&["check", "policy", &good, "--settings", &settings, "--explain", "class=close,d=300ms"]);
     assert_eq!(code, Some(0), "{text}");
     for told in [
-        "good: 2 routes",
-        "route 'c' takes it",
+        "OK: 2 routes",
+        "selected route 'c'",
         "attempt 1, times out at 200ms",
         "no retry: the previous attempt may have run",
         "300ms  final answer",
@@ -231,6 +231,6 @@
     let (code, text) = run(&["check", "policy", &good, "--settings", &settings, "--explain", "class=clos"]);
     assert!(code == Some(2) && text.contains("unknown class 'clos'; available: read, fix, close"), "{text}");
     let (code, text) = run(&["lab", "run", "calm", "--policies", "limited"]);
-    assert!(code == Some(2) && text.contains("give --policy FILE"), "{text}");
+    assert!(code == Some(2) && text.contains("use --policy FILE"), "{text}");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/cli/tests/pairs.rs
+++ b/cli/tests/pairs.rs
@@ -16,7 +16,7 @@
 fn an_upgrade_with_a_rollback_half_way_holds_with_the_same_program() {
     let (output, said) = pairs(PROGRAM);
     assert!(output.status.success(), "{output:?}");
-    let held = |way: &str| said.lines().any(|l| l.contains(way) && l.contains("12 processes changed"));
+    let held = |way: &str| said.lines().any(|l| l.contains(way) && l.contains("12 processes replaced"));
     assert!(held("to this one") && held("from this one"), "{said}");
 }
 
--- a/cli/tests/versions.rs
+++ b/cli/tests/versions.rs
@@ -78,7 +78,7 @@
     let file = rules(&fleet, "rules.toml", &["fix"]);
     let planned = command(&fleet, &["settings", "plan", &file.display().to_string()]).output().unwrap();
     let told = String::from_utf8_lossy(&planned.stdout).into_owned();
-    assert!(told.contains("on version 0:") && told.contains("+ block.classes fix"), "{told}");
+    assert!(told.contains("changes to version 0:") && told.contains("+ block.classes fix"), "{told}");
     let applied = apply(&fleet, &["fix"], &["--base", "0", "--wait"]);
     assert_eq!(String::from_utf8_lossy(&applied.stdout), "version 1 is in force\n", "{applied:?}");
     act_on(&mut fleet, &[0, 1, 2, 3], 1);
