--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,34 +1,33 @@
-//! Keeps one decision instance for each balancer and translates between the wire and the library.
-//! Instances share nothing but the numbered lists that the wire itself shares.
+//! Dispatches input messages to one decision instance per balancer and collects their actions.
+//! Instances share only the numbered endpoint lists.
 
-use crate::error::{InputError, Place};
-use crate::instance::{outcome, Instance};
+use crate::error::{InputError, Position};
+use crate::instance::{outcome_from_code, Instance};
 use crate::wire::{self, Output};
 use notchdoor::{Action, Event, Micros};
 use notchdoor_settings::{micros, Millis};
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// Every instance in this process, and the batch being read.
+/// All instances of this process, and the state of the current batch.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
-    lists: HashMap<u64, Vec<wire::Entry>>,
+    endpoint_lists: HashMap<u64, Vec<wire::Entry>>,
     batch: Option<u64>,
     now: Micros,
     actions: Vec<Action>,
     policy: Option<String>,
 }
 
-/// The clock begins anywhere; this far from 0 it is no clock, in milliseconds: some hundred thousand years. Beyond
-/// that, adding a wait to the time could take it past what a number holds.
-const MAX_MILLIS: Millis = 4e15;
-/// Lists are numbered from 0 to 15 and used again.
-const MAX_LISTS: usize = 16;
-/// What errors call a message whose kind could not be read.
-const UNREAD_MESSAGE: &str = "?";
+/// Largest accepted distance of a time from 0. Adding a duration to a time beyond it could overflow [`Micros`].
+const MAX_ABS_TIME_MS: Millis = 4e15;
+/// Buffers are numbered from 0 to 15 and reused.
+const MAX_ENDPOINT_LISTS: usize = 16;
+/// Stands in for the message kind in errors about a line whose kind could not be parsed.
+const UNKNOWN_MESSAGE_KIND: &str = "?";
 
-/// A message within a batch, for errors and to be read as its kind.
+/// An unparsed message within a batch.
 #[derive(Clone, Copy)]
 struct Message<'m> {
     line: &'m [u8],
@@ -37,8 +36,8 @@
 }
 
 impl<'m> Message<'m> {
-    fn read<T: Deserialize<'m>>(&self) -> Result<T, InputError> {
-        read(self.line, self.kind, Place::Batch(self.batch))
+    fn parse<T: Deserialize<'m>>(&self) -> Result<T, InputError> {
+        parse(self.line, self.kind, Position::Batch(self.batch))
     }
 
     fn unknown_instance(&self, who: &str) -> InputError {
@@ -46,101 +45,102 @@
     }
 }
 
-fn read<'m, T: Deserialize<'m>>(line: &'m [u8], kind: &str, place: Place) -> Result<T, InputError> {
-    serde_json::from_slice(line).map_err(|source| InputError::BadMessage {
-        place,
+fn parse<'m, T: Deserialize<'m>>(line: &'m [u8], kind: &str, position: Position) -> Result<T, InputError> {
+    serde_json::from_slice(line).map_err(|source| InputError::InvalidMessage {
+        position,
         message: kind.to_owned(),
         source,
     })
 }
 
 impl Host {
-    /// A host whose instances all have this policy file's limits.
+    /// Creates a host whose instances all apply the policy file with this text.
     pub fn with_policy(policy: Option<String>) -> Self {
         Host { policy, ..Host::default() }
     }
 
-    /// Where in the input the next line stands.
-    pub fn place(&self) -> Place {
+    /// The position of the next line in the input.
+    pub fn position(&self) -> Position {
         self.batch.into()
     }
 
-    /// Takes one line. True when the batch is complete and `reply` holds its answer.
-    pub fn line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
-        let head: wire::Head = read(line, UNREAD_MESSAGE, self.place())?;
-        let kind = &*head.m;
+    /// Handles one input line and appends its output to `reply`. Returns true at the end of a batch, when the reply is
+    /// ready to be sent.
+    pub fn handle_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<bool, InputError> {
+        let head: wire::Head = parse(line, UNKNOWN_MESSAGE_KIND, self.position())?;
+        let kind = &*head.kind;
         if kind == "sync" {
-            self.begin_batch(&read(line, kind, self.place())?)?;
+            self.begin_batch(&parse(line, kind, self.position())?)?;
             return Ok(false);
         }
         let Some(batch) = self.batch else {
-            return Err(InputError::OutsideBatch { message: kind.to_owned() });
+            return Err(InputError::MessageOutsideBatch { message: kind.to_owned() });
         };
         if kind == "eob" {
-            Output::Done { round: batch }.append_to(reply);
+            Output::Done { batch }.append_to(reply);
             self.batch = None;
             return Ok(true);
         }
-        self.message(Message { line, kind, batch }, reply)?;
+        self.dispatch(Message { line, kind, batch }, reply)?;
         Ok(false)
     }
 
-    /// Called at the end of the input.
-    pub fn at_end(&self) -> Result<(), InputError> {
+    /// Returns an error if the input ended within a batch.
+    pub fn check_batch_complete(&self) -> Result<(), InputError> {
         match self.batch {
-            Some(batch) => Err(InputError::EndWithinBatch { batch }),
+            Some(batch) => Err(InputError::IncompleteBatch { batch }),
             None => Ok(()),
         }
     }
 
     fn begin_batch(&mut self, sync: &wire::Sync) -> Result<(), InputError> {
         if let Some(open) = self.batch {
-            return Err(InputError::BatchWithinBatch { open, next: sync.round });
+            return Err(InputError::NestedBatch { open, next: sync.batch });
         }
-        if !(-MAX_MILLIS..=MAX_MILLIS).contains(&sync.t) {
-            return Err(InputError::NotATime { batch: sync.round });
+        if !(-MAX_ABS_TIME_MS..=MAX_ABS_TIME_MS).contains(&sync.time) {
+            return Err(InputError::InvalidTime { batch: sync.batch });
         }
-        self.batch = Some(sync.round);
-        self.now = micros(sync.t).max(self.now);
+        self.batch = Some(sync.batch);
+        self.now = micros(sync.time).max(self.now);
         Ok(())
     }
 
-    fn message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) -> Result<(), InputError> {
+    fn dispatch(&mut self, message: Message<'_>, reply: &mut Vec<u8>) -> Result<(), InputError> {
         match message.kind {
-            "enlist" => self.enlist(&message.read()?),
+            "enlist" => self.enlist(&message.parse()?),
             "down" => {
-                let down: wire::Addressed = message.read()?;
-                self.instances.remove(&*down.who);
+                let down: wire::Addressed = message.parse()?;
+                self.instances.remove(&*down.instance);
                 Ok(())
             }
-            "sheet" => self.keep_list(message, message.read()?),
-            "peersKnown" => self.peers_known(message, &message.read()?, reply),
+            "sheet" => self.store_endpoint_list(message, message.parse()?),
+            "peersKnown" => self.peers_known(message, &message.parse()?, reply),
             "incoming" => {
-                let incoming: wire::Incoming = message.read()?;
-                self.feed(message, &incoming.who, reply, |i| Some(i.arrived(&incoming)))
+                let incoming: wire::Incoming = message.parse()?;
+                self.deliver_event(message, &incoming.instance, reply, |i| Some(i.request_arrived(&incoming)))
             }
-            "ended" => self.ended(message, &message.read()?, reply),
+            "ended" => self.ended(message, &message.parse()?, reply),
             "abandoned" => {
-                let abandoned: wire::Abandoned = message.read()?;
-                self.feed(message, &abandoned.who, reply, |instance| {
-                    let id = instance.request_id(&abandoned.ticket)?;
-                    instance.request_over(id);
+                let abandoned: wire::Abandoned = message.parse()?;
+                self.deliver_event(message, &abandoned.instance, reply, |instance| {
+                    let id = instance.request_id(&abandoned.request)?;
+                    instance.request_done(id);
                     Some(Event::ClientLeft(id))
                 })
             }
             "started" => {
-                let started: wire::Started = message.read()?;
-                self.feed(message, &started.who, reply, |instance| {
-                    let id = instance.request_id(&started.ticket)?;
+                let started: wire::Started = message.parse()?;
+                self.deliver_event(message, &started.instance, reply, |instance| {
+                    let id = instance.request_id(&started.request)?;
                     Some(Event::ReplyStarted { id, attempt: started.attempt, took: None })
                 })
             }
             "timeoutFired" => {
-                let fired: wire::TimeoutFired = message.read()?;
-                self.feed(message, &fired.who, reply, |_| Some(Event::Timer(fired.ctx)))
+                let fired: wire::TimeoutFired = message.parse()?;
+                self.deliver_event(message, &fired.instance, reply, |_| Some(Event::Timer(fired.token)))
             }
-            // Nothing is decided on these.
-            "peerData" | "pong" => message.read::<wire::Addressed>().map(drop),
+            // The library has no event for these; only their form is checked.
+            "peerData" | "pong" => message.parse::<wire::Addressed>().map(drop),
             kind => Err(InputError::UnknownMessage { batch: message.batch, message: kind.to_owned() }),
         }
     }
@@ -148,19 +148,20 @@
     fn enlist(&mut self, enlist: &wire::Enlist) -> Result<(), InputError> {
         let policy = self.policy.as_deref();
         let instance = Instance::new(&enlist.boot_info, policy, enlist.init_seed, self.now)?;
-        self.instances.insert(enlist.who.to_string(), instance);
+        self.instances.insert(enlist.instance.to_string(), instance);
         Ok(())
     }
 
-    fn keep_list(&mut self, message: Message<'_>, sheet: wire::Sheet) -> Result<(), InputError> {
-        if !self.lists.contains_key(&sheet.buffer) && self.lists.len() >= MAX_LISTS {
-            return Err(InputError::TooManyLists {
+    fn store_endpoint_list(&mut self, message: Message<'_>, sheet: wire::Sheet) -> Result<(), InputError> {
+        if !self.endpoint_lists.contains_key(&sheet.buffer) && self.endpoint_lists.len() >= MAX_ENDPOINT_LISTS
+        {
+            return Err(InputError::TooManyEndpointLists {
                 batch: message.batch,
                 message: message.kind.to_owned(),
-                max_lists: MAX_LISTS,
+                max_lists: MAX_ENDPOINT_LISTS,
             });
         }
-        self.lists.insert(sheet.buffer, sheet.members_list);
+        self.endpoint_lists.insert(sheet.buffer, sheet.members_list);
         Ok(())
     }
 
@@ -171,20 +172,21 @@
         reply: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         if matches!(known.form, wire::Form::Error) {
-            return self.feed(message, &known.who, reply, |_| Some(Event::DiscoveryError));
+            return self.deliver_event(message, &known.instance, reply, |_| Some(Event::DiscoveryError));
         }
-        let list = self.lists.get(&known.buffer).ok_or_else(|| InputError::UnknownList {
+        let list = self.endpoint_lists.get(&known.buffer).ok_or_else(|| InputError::UnknownEndpointList {
             batch: message.batch,
             message: message.kind.to_owned(),
             buffer: known.buffer,
         })?;
-        let instance = self.instances.get(&*known.who).ok_or_else(|| message.unknown_instance(&known.who))?;
-        let members = instance.members(list);
+        let instance =
+            self.instances.get(&*known.instance).ok_or_else(|| message.unknown_instance(&known.instance))?;
+        let endpoints = instance.endpoints(list);
         let event = match known.form {
-            wire::Form::Partial => Event::EndpointUpdate(&members),
-            _ => Event::EndpointList(&members),
+            wire::Form::Partial => Event::EndpointUpdate(&endpoints),
+            _ => Event::EndpointList(&endpoints),
         };
-        self.feed(message, &known.who, reply, |_| Some(event))
+        self.deliver_event(message, &known.instance, reply, |_| Some(event))
     }
 
     fn ended(
@@ -193,21 +195,27 @@
         ended: &wire::Ended,
         reply: &mut Vec<u8>,
     ) -> Result<(), InputError> {
-        let outcome = outcome(ended.code).ok_or_else(|| InputError::UnknownOutcome {
+        let outcome = outcome_from_code(ended.code).ok_or_else(|| InputError::UnknownOutcomeCode {
             batch: message.batch,
             message: message.kind.to_owned(),
             code: ended.code,
         })?;
-        self.feed(message, &ended.who, reply, |instance| {
-            let id = instance.request_id(&ended.ticket)?;
-            instance.attempt_ended(id, ended.last);
-            let took = Some(micros(ended.took));
-            Some(Event::AttemptEnded { id, attempt: ended.attempt, outcome, took, request_done: ended.last })
+        self.deliver_event(message, &ended.instance, reply, |instance| {
+            let id = instance.request_id(&ended.request)?;
+            instance.attempt_ended(id, ended.request_done);
+            let took = Some(micros(ended.duration));
+            Some(Event::AttemptEnded {
+                id,
+                attempt: ended.attempt,
+                outcome,
+                took,
+                request_done: ended.request_done,
+            })
         })
     }
 
-    /// Hands one event to an instance and writes what it wants done.
-    fn feed<'e>(
+    /// Passes the event that `event` returns, if any, to the instance `who` and appends the resulting actions to `reply`.
+    fn deliver_event<'e>(
         &mut self,
         message: Message<'_>,
         who: &str,
@@ -218,7 +226,7 @@
         if let Some(event) = event(instance) {
             instance.handle(self.now, event, &mut self.actions);
             for action in self.actions.drain(..) {
-                instance.write(who, action, self.now, reply);
+                instance.write_action(who, action, self.now, reply);
             }
         }
         Ok(())
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer: its decisions, and the names that the library knows as numbers.
+//! One balancer: its decision stack, and the mapping from names on the wire to the numeric ids of the library.
 
 use crate::error::InputError;
 use crate::wire::{self, Output};
@@ -9,37 +9,37 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What errors of a policy file call it: its text comes without its path.
-const POLICY_FILE: &str = "NOTCHDOOR_POLICY";
-/// The bit of a request's state that says it is a write.
+/// Stands in for the path in policy-file errors, since only the text of the file is passed in.
+const POLICY_FILE_NAME: &str = "NOTCHDOOR_POLICY";
+/// Set in `stateBits` for a write request.
 const WRITE_BIT: u32 = 4;
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// One balancer.
+/// A balancer with its own decision stack, settings and request ids.
 pub struct Instance {
     stack: Stack,
     names: DeploymentNames,
     ids: HashMap<String, RequestId>,
-    requests: HashMap<RequestId, KnownRequest>,
+    requests: HashMap<RequestId, TrackedRequest>,
     next_id: RequestId,
 }
 
-/// A request's name on the wire, kept for as long as the wire may still speak of it.
-struct KnownRequest {
+/// A request that later messages may still refer to, with its name on the wire.
+struct TrackedRequest {
     name: String,
-    attempts_out: u32,
-    over: bool,
+    attempts_in_flight: u32,
+    done: bool,
 }
 
 impl Instance {
-    /// `policy` is the text of a policy file; the settings that it is checked against come with the instance.
+    /// `policy` is the text of a policy file; it is validated against `settings`.
     pub fn new(
         settings: &DeploymentSettings,
         policy: Option<&str>,
         seed: u64,
         now: Micros,
     ) -> Result<Self, InputError> {
-        let read = |text| policy_file::parse(POLICY_FILE, text, &settings.policy_context());
+        let read = |text| policy_file::parse(POLICY_FILE_NAME, text, &settings.policy_context());
         let policy = policy.map(read).transpose().map_err(InputError::Policy)?;
         Ok(Instance {
             stack: Stack::new(settings.settings(), policy.map(Arc::new), seed, now),
@@ -50,103 +50,107 @@
         })
     }
 
-    /// Takes one event and appends what is to be done at once.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.stack.handle(now, event, actions);
     }
 
-    /// The number of a request that the wire may still speak of.
+    /// The id of a tracked request; `None` for a request that is unknown or already removed.
     pub fn request_id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// A list's entries, with numbers in place of names.
-    pub fn members(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
-        let member = |entry: &wire::Entry| Endpoint {
-            server: entry.node,
-            kind: index_of(&self.names.kinds, &entry.flavor).unwrap_or(u32::MAX),
-            zone: index_of(&self.names.zones, &entry.campus).unwrap_or(u32::MAX),
-            cell: entry.cohort,
+    /// Converts list entries to endpoints; a kind or zone that the settings do not name becomes `u32::MAX`.
+    pub fn endpoints(&self, entries: &[wire::Entry]) -> Vec<Endpoint> {
+        let endpoint = |entry: &wire::Entry| Endpoint {
+            server: entry.server,
+            kind: index_of(&self.names.kinds, &entry.kind).unwrap_or(u32::MAX),
+            zone: index_of(&self.names.zones, &entry.zone).unwrap_or(u32::MAX),
+            cell: entry.cell,
             size: entry.size,
-            started_at: micros(entry.up_since),
+            started_at: micros(entry.started_at),
             state: entry.readiness.into(),
         };
-        entries.iter().map(member).collect()
+        entries.iter().map(endpoint).collect()
     }
 
-    /// A request that has come, which gets a number.
-    pub fn arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
+    /// Assigns an id to a new request and returns its arrival event.
+    pub fn request_arrived(&mut self, incoming: &wire::Incoming) -> Event<'static> {
         let id = self.next_id;
         self.next_id += 1;
-        let name = incoming.ticket.to_string();
+        let name = incoming.request.to_string();
         self.ids.insert(name.clone(), id);
-        self.requests.insert(id, KnownRequest { name, attempts_out: 0, over: false });
-        let tenant = match &incoming.customer {
+        self.requests.insert(id, TrackedRequest { name, attempts_in_flight: 0, done: false });
+        let tenant = match &incoming.tenant {
             Some(wire::Customer::Name(name)) => index_of(&self.names.tenants, name),
             _ => None,
         };
-        let key = incoming.item.as_ref().map(|key| key.as_bytes());
+        let key = incoming.key.as_ref().map(|key| key.as_bytes());
         Event::Arrived(Request {
             id,
-            class: index_of(&self.names.classes, &incoming.band),
+            class: index_of(&self.names.classes, &incoming.class),
             tenant,
             key: key.map(key_hash),
             group: key.map_or(0, |key| self.stack.group(key)),
             write: incoming.state_bits & WRITE_BIT != 0,
-            deadline: micros(incoming.due),
+            deadline: micros(incoming.deadline),
         })
     }
 
-    /// Notes that an attempt has ended, and whether its request is over with it.
-    pub fn attempt_ended(&mut self, id: RequestId, over: bool) {
+    /// Records the end of an attempt; `done` if it also completes the request.
+    pub fn attempt_ended(&mut self, id: RequestId, done: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.attempts_out = request.attempts_out.saturating_sub(1);
-            request.over |= over;
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+            request.done |= done;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// Notes that a request is over: it has its answer, or its client has left.
-    pub fn request_over(&mut self, id: RequestId) {
+    /// Records that a request was answered or abandoned. It stays tracked while attempts are in flight.
+    pub fn request_done(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.over = true;
+            request.done = true;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    fn forget_if_done(&mut self, id: RequestId) {
-        if let Some(done) = self.requests.get(&id).filter(|r| r.over && r.attempts_out == 0) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if let Some(done) = self.requests.get(&id).filter(|r| r.done && r.attempts_in_flight == 0) {
             self.ids.remove(&done.name);
             self.requests.remove(&id);
         }
     }
 
-    /// Writes an action for the balancer `who`.
-    pub fn write(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
-        let ticket = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
+    /// Appends the message for an action of the balancer `who`.
+    pub fn write_action(&mut self, who: &str, action: Action, now: Micros, reply: &mut Vec<u8>) {
+        let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let output = match &action {
             Action::Send { id, server, give_up_at, .. } => Output::Route {
-                who,
-                ticket: ticket(id),
-                node: *server,
-                not_past: millis((*give_up_at).max(now)),
+                instance: who,
+                request: name(id),
+                server: *server,
+                give_up_at: millis((*give_up_at).max(now)),
             },
-            Action::Cancel { id, attempt } => Output::Retract { who, ticket: ticket(id), attempt: *attempt },
+            Action::Cancel { id, attempt } => {
+                Output::Retract { instance: who, request: name(id), attempt: *attempt }
+            }
             Action::Reject { id, retry_after } => {
-                Output::TurnAway { who, ticket: ticket(id), come_back: millis(*retry_after) }
+                Output::TurnAway { instance: who, request: name(id), retry_after: millis(*retry_after) }
+            }
+            Action::Fail { id } => Output::FinishError { instance: who, request: name(id) },
+            Action::Timer { after, token } => {
+                Output::Schedule { instance: who, delay: millis(*after), token: *token }
             }
-            Action::Fail { id } => Output::FinishError { who, ticket: ticket(id) },
-            Action::Timer { after, token } => Output::Schedule { who, from_now: millis(*after), ctx: *token },
-            Action::Watch => Output::StreamChanges { who, want: true },
+            Action::Watch => Output::StreamChanges { instance: who, enabled: true },
         };
         output.append_to(reply);
         match action {
             Action::Send { id, .. } => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.attempts_out += 1;
+                    request.attempts_in_flight += 1;
                 }
             }
-            Action::Reject { id, .. } | Action::Fail { id } => self.request_over(id),
+            Action::Reject { id, .. } | Action::Fail { id } => self.request_done(id),
             Action::Cancel { .. } | Action::Timer { .. } | Action::Watch => {}
         }
     }
@@ -156,8 +160,8 @@
     t as f64 / MICROS_PER_MILLI
 }
 
-/// The outcome that a code of the wire stands for.
-pub fn outcome(code: u32) -> Option<Outcome> {
+/// Maps an outcome code on the wire to an [`Outcome`]; `None` if the code is unknown.
+pub fn outcome_from_code(code: u32) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Ok,
         2 => Outcome::Miss,
--- a/cli/src/tests.rs
+++ b/cli/src/tests.rs
@@ -1,8 +1,8 @@
-//! The definition of the command line.
+//! Tests of the command line definition.
 
 use super::*;
 
 #[test]
-fn the_command_line_is_sound() {
+fn command_line_definition_is_valid() {
     CommandLine::command().debug_assert();
 }
