--- a/proxy/src/wire/driver/client/reader.rs
+++ b/proxy/src/wire/driver/client/reader.rs
@@ -25,8 +25,8 @@
 const ROOM_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// Maximum time to receive a streamed value. A pause within it is limited by the command timeout.
 const STREAMED_VALUE_TIMEOUT: Micros = 60_000_000;
-/// Time before the client's deadline at which it is answered, so that the answer arrives in time: at most
-/// `REPLY_MARGIN`, and at most the deadline divided by `REPLY_MARGIN_DIVISOR`.
+/// A client is answered this long before its deadline, so that the answer arrives in time: `REPLY_MARGIN`, or the
+/// time until its deadline divided by `REPLY_MARGIN_DIVISOR` if that is less.
 const REPLY_MARGIN: Micros = 10_000;
 const REPLY_MARGIN_DIVISOR: Micros = 40;
 
