--- a/testbed/src/stand/host.rs
+++ b/testbed/src/stand/host.rs
@@ -196,7 +196,7 @@
         state.end(&jobs, Outcome::Reset);
     }
 
-    /// The origin is so many times as wide from now on; see [`notchdoor_model::origin::Origin::widen`].
+    /// Multiplies the capacity of the origin; see [`notchdoor_model::origin::Origin::scale_capacity`].
     pub fn widen(&self, times: f64) {
         let mut state = self.inner.state.borrow_mut();
         state.advance_origin(self.inner.now());
